--- a/ibismux/gather/forward.h
+++ b/ibismux/gather/forward.h
@@ -9,7 +9,7 @@
 struct GatherRoles;
 class GatherClient;
 class GatherHost;
-class GathererChoice;
+class GathererSelector;
 
 }  // namespace ibismux::gather
 
--- a/ibismux/gather/gather_client.cc
+++ b/ibismux/gather/gather_client.cc
@@ -22,13 +22,14 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
-// How long a peer of the zone has to confirm a query, and the most of the time
-// until the answer is due: what is left must do for gathering here.
-constexpr milliseconds kTakenWithin{20};
-constexpr double kTakenWithinPart = 0.3;
-// A timer that fires later than this says that this daemon was busy, and may
-// not have read what has come.
-constexpr milliseconds kOnTime{1};
+// A peer of the zone must report that it has taken a query within
+// `kConfirmTimeout`, and within this fraction of the time until the answer is
+// due: the remaining time must suffice for gathering the query here.
+constexpr milliseconds kConfirmTimeout{20};
+constexpr double kConfirmTimeoutFraction = 0.3;
+// If a timer fires later than this, the event loop was busy and may not have
+// read messages that have already arrived.
+constexpr milliseconds kTimerTolerance{1};
 
 }  // namespace
 
@@ -51,23 +52,23 @@
     log_refused(this->log, "gather_offer_refused", from, offer.error());
     return;
   }
-  this->choice.on_offer(from.member, offer->sequence, offer->room,
-                        Clock::now());
+  this->selector.on_offer(from.member, offer->sequence, offer->room,
+                          Clock::now());
 }
 
 void GatherClient::on_taken(const Incarnation& from,
                             const std::string& payload) {
-  const auto number = decode_about(payload);
+  const auto number = decode_query_number(payload);
   if (!number) {
     log_refused(this->log, "gather_taken_refused", from, number.error());
     return;
   }
-  const auto found = this->handovers.find(*number);
-  const auto handover =
-      found == this->handovers.end() ? nullptr : found->second.lock();
-  if (handover) {
-    handover->taken = true;
-    handover->wake.cancel();
+  const auto found = this->pending_queries.find(*number);
+  const auto pending =
+      found == this->pending_queries.end() ? nullptr : found->second.lock();
+  if (pending) {
+    pending->taken = true;
+    pending->timer.cancel();
     this->network.notify(from.member, MessageKind::kGatherConfirm, payload);
   }
 }
@@ -77,100 +78,103 @@
     std::shared_ptr<http::CancelToken> caller) {
   const auto self = this->shared_from_this();
   const TimePoint now = Clock::now();
-  const auto pick = this->choice.choose(now);
-  if (!pick) {
+  const auto selection = this->selector.select(now);
+  if (!selection) {
     co_return Delegated{};
   }
   const std::uint64_t number = ++this->last_number;
-  auto handover = std::make_shared<Handover>(this->loop);
-  this->handovers.emplace(number, handover);
+  auto pending = std::make_shared<PendingQuery>(this->loop);
+  this->pending_queries.emplace(number, pending);
   std::string payload = encode(
-      GatherQuery{number, pick->offer, query.configuration, query.request},
+      GatherQuery{number, selection->offer, query.configuration, query.request},
       now);
-  asio::co_spawn(
-      this->loop,
-      request(self, pick->member, std::move(payload), query.final_at, handover),
-      asio::detached);
-  caller->on_cancel([weak = std::weak_ptr(handover)] {
+  asio::co_spawn(this->loop,
+                 request(self, selection->member, std::move(payload),
+                         query.final_at, pending),
+                 asio::detached);
+  caller->on_cancel([weak = std::weak_ptr(pending)] {
     if (const auto live = weak.lock()) {
       live->caller_gone = true;
-      live->wake.cancel();
+      live->timer.cancel();
     }
   });
-  const Duration share = scaled(query.due - now, kTakenWithinPart);
-  const TimePoint taken_by = now + std::min<Duration>(kTakenWithin, share);
-  co_await wait(handover, taken_by, query.final_at);
+  const Duration confirm_budget =
+      scaled(query.due - now, kConfirmTimeoutFraction);
+  const TimePoint confirm_deadline =
+      now + std::min<Duration>(kConfirmTimeout, confirm_budget);
+  co_await wait(pending, confirm_deadline, query.final_at);
   caller->on_cancel([] {});
-  this->handovers.erase(number);
-  this->choice.on_end(pick->member);
-  co_return this->settle(pick->member, number, query, *handover);
+  this->pending_queries.erase(number);
+  this->selector.on_end(selection->member);
+  co_return this->finish(selection->member, number, query, *pending);
 }
 
 Task<void> GatherClient::request(std::shared_ptr<GatherClient> self,
                                  std::string member,
                                  std::string payload,
                                  TimePoint deadline,
-                                 std::shared_ptr<Handover> handover) {
+                                 std::shared_ptr<PendingQuery> pending) {
   auto reply = co_await self->network.request(std::move(member),
                                               MessageKind::kGatherQuery,
                                               std::move(payload), deadline);
-  handover->reply = std::move(reply);
-  handover->wake.cancel();
+  pending->reply = std::move(reply);
+  pending->timer.cancel();
 }
 
-Task<void> GatherClient::wait(std::shared_ptr<Handover> handover,
-                              TimePoint taken_by,
+Task<void> GatherClient::wait(std::shared_ptr<PendingQuery> pending,
+                              TimePoint confirm_deadline,
                               TimePoint final_at) {
-  bool caught_up = false;
-  while (!handover->reply && !handover->caller_gone) {
-    const TimePoint until = handover->taken ? final_at : taken_by;
-    handover->wake.expires_at(until);
-    const auto [cancelled] = co_await handover->wake.async_wait(kAwait);
+  bool has_rechecked = false;
+  while (!pending->reply && !pending->caller_gone) {
+    const TimePoint until = pending->taken ? final_at : confirm_deadline;
+    pending->timer.expires_at(until);
+    const auto [cancelled] = co_await pending->timer.async_wait(kAwait);
     const TimePoint now = Clock::now();
     if (cancelled || now < until) {
       continue;
     }
-    if (now <= until + kOnTime || caught_up) {
+    if (now <= until + kTimerTolerance || has_rechecked) {
       co_return;
     }
-    // This daemon was busy: what came meanwhile is read before a wait that is
-    // over at once ends.
-    caught_up = true;
+    // The event loop was late. The next wait expires at once, but lets the loop
+    // process the messages that have arrived in the meantime.
+    has_rechecked = true;
   }
 }
 
-dispatch::QueryDelegate::Delegated GatherClient::settle(
+dispatch::QueryDelegate::Delegated GatherClient::finish(
     const std::string& member,
     std::uint64_t number,
     const Query& query,
-    Handover& handover) {
-  if (handover.reply) {
-    return this->read(member, query, handover);
+    PendingQuery& pending) {
+  if (pending.reply) {
+    return this->read_reply(member, query, pending);
   }
   this->network.notify(member, MessageKind::kGatherCancel,
-                       encode_about(number));
-  if (handover.caller_gone) {
+                       encode_query_number(number));
+  if (pending.caller_gone) {
     return {.outcome = fail(ErrorKind::kCancelled, "the caller is gone")};
   }
-  if (handover.taken) {
-    this->note("gather_lost", member, query, "no answer in time");
+  if (pending.taken) {
+    this->log_failure("gather_lost", member, query, "no answer in time");
     return {.outcome = fail(ErrorKind::kDeadlineExceeded,
                             "no answer from " + member + " in time")};
   }
-  this->note("gather_not_taken", member, query, "no confirmation in time");
-  this->choice.on_silent(member, Clock::now());
+  this->log_failure("gather_not_taken", member, query,
+                    "no confirmation in time");
+  this->selector.on_unresponsive(member, Clock::now());
   return {.outcome = std::nullopt, .may_have_run = true};
 }
 
-dispatch::QueryDelegate::Delegated GatherClient::read(
+dispatch::QueryDelegate::Delegated GatherClient::read_reply(
     const std::string& member,
     const Query& query,
-    const Handover& handover) {
-  const Result<std::string>& reply = *handover.reply;
+    const PendingQuery& pending) {
+  const Result<std::string>& reply = *pending.reply;
   if (!reply) {
-    this->note("gather_lost", member, query, reply.error().message);
-    this->choice.on_silent(member, Clock::now());
-    if (handover.taken) {
+    this->log_failure("gather_lost", member, query, reply.error().message);
+    this->selector.on_unresponsive(member, Clock::now());
+    if (pending.taken) {
       return {.outcome = fail(ErrorKind::kOutcomeUnknown,
                               member + ": " + reply.error().message)};
     }
@@ -179,22 +183,22 @@
   }
   auto answer = decode_answer(*reply);
   if (!answer) {
-    this->note("gather_lost", member, query, answer.error().message);
+    this->log_failure("gather_lost", member, query, answer.error().message);
     return {.outcome = tl::unexpected(std::move(answer.error()))};
   }
   if (!answer->outcome) {
-    this->note("gather_not_taken", member, query, answer->reason);
-    this->choice.on_refused(member);
+    this->log_failure("gather_not_taken", member, query, answer->reason);
+    this->selector.on_refused(member);
     return {};
   }
-  this->choice.on_taken(member);
+  this->selector.on_taken(member);
   return {.outcome = std::move(answer->outcome)};
 }
 
-void GatherClient::note(std::string_view event,
-                        const std::string& member,
-                        const Query& query,
-                        std::string_view reason) {
+void GatherClient::log_failure(std::string_view event,
+                               const std::string& member,
+                               const Query& query,
+                               std::string_view reason) {
   const TimePoint now = Clock::now();
   this->log.event(eventlog::Weight::kFailure, event)
       .with("request", query.request.id)
--- a/ibismux/gather/gather_client.h
+++ b/ibismux/gather/gather_client.h
@@ -18,77 +18,81 @@
 
 namespace ibismux::gather {
 
-/// Hands this daemon's queries over to peers that offer to gather them.
+/// Delegates this daemon's queries to peers that offer to gather them.
 ///
-/// A peer tells at once that it has taken a query, and learns in turn that this
-/// daemon knows. Where it hears nothing, the query is gathered here: waiting
-/// for its answer would cost the caller its whole deadline if the peer was cut
-/// off. The peer may have taken it all the same; without that confirmation it
-/// makes one attempt at each shard, and this daemon the others that the route
-/// allows. A query that was confirmed is not gathered a second time; if its
-/// answer is lost the caller is told that the outcome is unknown.
+/// A peer reports at once that it has taken a query (kGatherTaken), and this
+/// daemon acknowledges the report (kGatherConfirm). If no report arrives in
+/// time, this daemon gathers the query itself, because waiting for the answer
+/// of an unreachable peer would use up the caller's deadline. The peer may have
+/// taken the query nevertheless. Without the acknowledgement it makes one
+/// attempt at each shard, and this daemon makes the remaining attempts that the
+/// route allows. A query whose kGatherTaken has arrived is not gathered a
+/// second time; if its answer is lost, the caller gets an error that says that
+/// the outcome is unknown.
 ///
 /// Belongs to one event loop, which is also the network's; not thread safe.
 class GatherClient : public dispatch::QueryDelegate,
                      public std::enable_shared_from_this<GatherClient> {
  public:
-  /// Precondition: the network has not started. All outlive this.
+  /// Precondition: the network has not started. All references outlive this
+  /// object.
   GatherClient(boost::asio::io_context& loop,
                peer::PeerNetwork& network,
                eventlog::EventLog& log);
 
-  /// Registers the handlers. Called once, before the network starts.
+  /// Registers the message handlers. Call once, before the network starts.
   void start();
 
   [[nodiscard]] bool is_available(TimePoint now) const override {
-    return this->choice.has_choice(now);
+    return this->selector.has_candidate(now);
   }
   [[nodiscard]] Task<Delegated> run(
       Query query,
       std::shared_ptr<http::CancelToken> caller) override;
 
  private:
-  /// A query at a peer.
-  struct Handover {
-    explicit Handover(boost::asio::io_context& loop)
-        : wake(loop.get_executor()) {}
+  /// A query that was sent to a peer and has no outcome yet.
+  struct PendingQuery {
+    explicit PendingQuery(boost::asio::io_context& loop)
+        : timer(loop.get_executor()) {}
 
-    http::Timer wake;  ///< Cancelled when something below has changed.
+    http::Timer timer;  ///< Cancelled when a member below changes.
     bool taken = false;
     bool caller_gone = false;
     std::optional<Result<std::string>> reply;
   };
 
-  [[nodiscard]] static Task<void> request(std::shared_ptr<GatherClient> self,
-                                          std::string member,
-                                          std::string payload,
-                                          TimePoint deadline,
-                                          std::shared_ptr<Handover> handover);
-  /// Waits for the reply, the end of the caller's interest, or the time by
-  /// which the peer should have confirmed.
-  [[nodiscard]] static Task<void> wait(std::shared_ptr<Handover> handover,
-                                       TimePoint taken_by,
+  [[nodiscard]] static Task<void> request(
+      std::shared_ptr<GatherClient> self,
+      std::string member,
+      std::string payload,
+      TimePoint deadline,
+      std::shared_ptr<PendingQuery> pending);
+  /// Waits until the reply arrives, the caller disconnects, or time runs out:
+  /// `confirm_deadline` while the query isn't taken, `final_at` afterwards.
+  [[nodiscard]] static Task<void> wait(std::shared_ptr<PendingQuery> pending,
+                                       TimePoint confirm_deadline,
                                        TimePoint final_at);
-  [[nodiscard]] Delegated settle(const std::string& member,
+  [[nodiscard]] Delegated finish(const std::string& member,
                                  std::uint64_t number,
                                  const Query& query,
-                                 Handover& handover);
-  [[nodiscard]] Delegated read(const std::string& member,
-                               const Query& query,
-                               const Handover& handover);
+                                 PendingQuery& pending);
+  [[nodiscard]] Delegated read_reply(const std::string& member,
+                                     const Query& query,
+                                     const PendingQuery& pending);
   void on_taken(const Incarnation& from, const std::string& payload);
   void on_offer(const Incarnation& from, const std::string& payload);
-  void note(std::string_view event,
-            const std::string& member,
-            const Query& query,
-            std::string_view reason);
+  void log_failure(std::string_view event,
+                   const std::string& member,
+                   const Query& query,
+                   std::string_view reason);
 
   boost::asio::io_context& loop;
   peer::PeerNetwork& network;
   eventlog::EventLog& log;
-  GathererChoice choice;
+  GathererSelector selector;
   std::uint64_t last_number = 0;
-  std::map<std::uint64_t, std::weak_ptr<Handover>> handovers;
+  std::map<std::uint64_t, std::weak_ptr<PendingQuery>> pending_queries;
 };
 
 }  // namespace ibismux::gather
--- a/ibismux/gather/gather_host.cc
+++ b/ibismux/gather/gather_host.cc
@@ -18,15 +18,18 @@
 using peer::MessageKind;
 using std::chrono::milliseconds;
 
-// Peers rely on an offer for `GathererChoice::kOfferHolds`; two may be lost.
+// A third of `GathererSelector::kOfferLifetime`, so that a peer still has a
+// valid offer after two lost ones.
 constexpr milliseconds kOfferInterval{200};
-// Longer than peers rely on an offer, by what a frame may take on its way.
-constexpr milliseconds kOfferHonored{900};
-// Queries at once. Their answers share this host's link and processor; beyond
-// that they are sooner gathered where they came.
-constexpr std::size_t kMostQueries = 24;
-// Cancellations that are remembered for queries which were not read yet.
-constexpr std::size_t kMostEarly = 64;
+// `GathererSelector::kOfferLifetime` plus the time that a frame may take in
+// transit.
+constexpr milliseconds kOfferAcceptedFor{900};
+// Limit of concurrent queries. Their answers share the link and the processor
+// of this host; beyond this limit the daemons that received the queries gather
+// them faster themselves.
+constexpr std::size_t kMaxQueries = 24;
+// Limit of stored cancellations for queries that have not been read yet.
+constexpr std::size_t kMaxEarlyCancels = 64;
 
 }  // namespace
 
@@ -78,8 +81,8 @@
 void GatherHost::tick() {
   if (this->roles.gathers && !this->draining &&
       this->gatherer.configuration() > 0) {
-    const std::size_t busy = std::min(kMostQueries, this->running.size());
-    this->send_offers(kMostQueries - busy);
+    const std::size_t busy = std::min(kMaxQueries, this->running.size());
+    this->send_offers(kMaxQueries - busy);
   }
   this->timer.expires_after(kOfferInterval);
   http::await_timer(this->timer, this->weak_from_this(), &GatherHost::tick);
@@ -91,7 +94,7 @@
   }
   const TimePoint now = Clock::now();
   this->offers.emplace_back(++this->sequence, now);
-  while (now - this->offers.front().second > kOfferHonored) {
+  while (now - this->offers.front().second > kOfferAcceptedFor) {
     this->offers.pop_front();
   }
   const std::string payload = encode(GatherOffer{this->sequence, room});
@@ -104,12 +107,13 @@
   const auto found =
       std::find_if(this->offers.begin(), this->offers.end(),
                    [offer](const auto& row) { return row.first == offer; });
-  return found != this->offers.end() && now - found->second <= kOfferHonored;
+  return found != this->offers.end() &&
+         now - found->second <= kOfferAcceptedFor;
 }
 
-std::optional<std::string> GatherHost::refusal(const GatherQuery& query,
-                                               const Key& key,
-                                               TimePoint now) const {
+std::optional<std::string> GatherHost::refusal_reason(const GatherQuery& query,
+                                                      const Key& key,
+                                                      TimePoint now) const {
   if (this->draining) {
     return "this daemon stops";
   }
@@ -119,7 +123,7 @@
   if (this->gatherer.configuration() != query.configuration) {
     return "another configuration is in force here";
   }
-  if (this->running.size() >= kMostQueries) {
+  if (this->running.size() >= kMaxQueries) {
     return "no room";
   }
   const bool is_cancelled =
@@ -141,7 +145,7 @@
     co_return tl::unexpected(std::move(query.error()));
   }
   const Key key(from.member, query->number);
-  if (auto reason = self->refusal(*query, key, now)) {
+  if (auto reason = self->refusal_reason(*query, key, now)) {
     self->log.event(eventlog::Weight::kFailure, "gather_query_not_taken")
         .with("request", query->request.id)
         .with("from", from.member)
@@ -149,21 +153,21 @@
     co_return encode(GatherAnswer{std::nullopt, *std::move(reason)});
   }
   self->network.notify(from.member, MessageKind::kGatherTaken,
-                       encode_about(query->number));
+                       encode_query_number(query->number));
   const Running run{std::make_shared<dispatch::Confirmation>(),
                     std::make_shared<http::CancelToken>()};
   self->running[key] = run;
   auto outcome = co_await self->gatherer.gather(
       std::move(query->request), run.confirmation, run.cancelled);
-  // Counts as under way until its answer has been handed to the network: a
-  // daemon that stops ends once nothing is.
+  // The query counts as in progress until its answer has been passed to the
+  // network, because a stopping daemon exits when no query is in progress.
   boost::asio::post(self->loop, [self, key] { self->running.erase(key); });
   co_return encode(GatherAnswer{std::move(outcome), {}});
 }
 
 void GatherHost::on_confirm(const Incarnation& from,
                             const std::string& payload) {
-  const auto number = decode_about(payload);
+  const auto number = decode_query_number(payload);
   if (!number) {
     log_refused(this->log, "gather_confirm_refused", from, number.error());
     return;
@@ -176,7 +180,7 @@
 
 void GatherHost::on_cancel(const Incarnation& from,
                            const std::string& payload) {
-  const auto number = decode_about(payload);
+  const auto number = decode_query_number(payload);
   if (!number) {
     log_refused(this->log, "gather_cancel_refused", from, number.error());
     return;
@@ -189,7 +193,7 @@
     return;
   }
   this->cancelled_early.push_back(key);
-  if (this->cancelled_early.size() > kMostEarly) {
+  if (this->cancelled_early.size() > kMaxEarlyCancels) {
     this->cancelled_early.pop_front();
   }
 }
--- a/ibismux/gather/gather_host.h
+++ b/ibismux/gather/gather_host.h
@@ -23,36 +23,42 @@
 
 namespace ibismux::gather {
 
-/// Offers the weaker daemons of the zone to gather their queries, and does.
+/// Gathers queries for the daemons of the zone that have narrower network
+/// links, and sends them offers to do so.
 ///
-/// A query is taken only on an offer made a moment ago: frames that a cut of
-/// the network held up arrive when it heals, for callers that have long gone.
+/// A query is taken only if it refers to a recent offer. Frames that a network
+/// partition has delayed arrive when it heals, when their callers have already
+/// given up.
 ///
 /// Belongs to one event loop, which is also the network's; not thread safe.
 class GatherHost : public std::enable_shared_from_this<GatherHost> {
  public:
-  /// Precondition: the network has not started. All outlive this.
+  /// Precondition: the network has not started. All references outlive this
+  /// object.
   GatherHost(boost::asio::io_context& loop,
              peer::PeerNetwork& network,
              dispatch::QueryGatherer& gatherer,
              eventlog::EventLog& log);
 
-  /// Registers the handlers and begins. Called once, before the network starts.
+  /// Registers the message handlers and starts sending offers. Call once,
+  /// before the network starts.
   void start();
 
-  /// The members have changed.
+  /// Applies the roles that result from a membership change.
   void on_roles(GatherRoles roles);
 
-  /// Takes no further queries, and withdraws its offers; those under way go on.
+  /// Refuses new queries and withdraws the offers; queries in progress
+  /// continue.
   void drain();
 
-  /// Queries under way.
+  /// Number of queries in progress.
   [[nodiscard]] std::size_t in_flight() const noexcept {
     return this->running.size();
   }
 
  private:
-  /// A query: whose it is, and its number there.
+  /// Identifies a query: the member that sent it, and that member's query
+  /// number.
   using Key = std::pair<std::string, std::uint64_t>;
 
   struct Running {
@@ -66,10 +72,9 @@
       std::shared_ptr<GatherHost> self,
       Incarnation from,
       std::string payload);
-  /// Why a query isn't taken; nothing where it is.
-  [[nodiscard]] std::optional<std::string> refusal(const GatherQuery& query,
-                                                   const Key& key,
-                                                   TimePoint now) const;
+  /// Why a query is refused, or nothing if it is taken.
+  [[nodiscard]] std::optional<std::string>
+  refusal_reason(const GatherQuery& query, const Key& key, TimePoint now) const;
   [[nodiscard]] bool is_recent(std::uint64_t offer, TimePoint now) const;
   void on_confirm(const Incarnation& from, const std::string& payload);
   void on_cancel(const Incarnation& from, const std::string& payload);
@@ -83,10 +88,10 @@
   GatherRoles roles;
   bool draining = false;
   std::uint64_t sequence = 0;
-  /// When the last offers were made, the newest last.
+  /// Sequence numbers and times of the recent offers, the newest last.
   std::deque<std::pair<std::uint64_t, TimePoint>> offers;
   std::map<Key, Running> running;
-  std::deque<Key> cancelled_early;  ///< Before the query itself was read.
+  std::deque<Key> cancelled_early;  ///< Cancelled before the query was read.
 };
 
 }  // namespace ibismux::gather
--- a/ibismux/gather/gather_roles.h
+++ b/ibismux/gather/gather_roles.h
@@ -9,18 +9,19 @@
 
 namespace ibismux::gather {
 
-/// Which daemons gather queries for others.
+/// This daemon's part in gathering queries for other daemons.
 struct GatherRoles {
-  /// This daemon gathers for `served`, the weaker ones of its zone.
+  /// Whether this daemon gathers queries for the members in `served`.
   bool gathers = false;
+  /// Members of its zone that have narrower network links.
   std::vector<std::string> served;
-  /// Daemons of all zones that gather for others.
+  /// Number of daemons, in all zones, that gather for others.
   std::size_t gatherers = 0;
 };
 
-/// Reads the roles out of a view: in each zone, members with wide links (see
-/// `membership::wide_links`) gather for the others that say how wide theirs
-/// are. Thread safe.
+/// Derives the roles from a membership view: in each zone, members with wide
+/// links (see `membership::wide_links`) gather for those other serving members
+/// that report the bandwidth of their links. Thread safe.
 [[nodiscard]] GatherRoles assign_roles(const membership::MembershipView& view);
 
 }  // namespace ibismux::gather
--- a/ibismux/gather/gatherer_choice.cc
+++ b/ibismux/gather/gatherer_choice.cc
@@ -7,78 +7,83 @@
 
 namespace {
 
-// A peer that has offered nothing for so long is forgotten.
-constexpr std::chrono::seconds kForgottenAfter{60};
+// A peer without an offer for this time, and without queries in flight, is
+// removed.
+constexpr std::chrono::seconds kStaleAfter{60};
 
 }  // namespace
 
-void GathererChoice::on_offer(const std::string& member,
-                              std::uint64_t sequence,
-                              std::size_t room,
-                              TimePoint now) {
+void GathererSelector::on_offer(const std::string& member,
+                                std::uint64_t sequence,
+                                std::size_t room,
+                                TimePoint now) {
   Gatherer& gatherer = this->gatherers[member];
   gatherer.offer = sequence;
   gatherer.room = room;
   gatherer.offered_at = now;
-  this->forget_old(now);
+  this->remove_stale(now);
 }
 
-bool GathererChoice::is_open(const Gatherer& gatherer, TimePoint now) {
-  return gatherer.room > 0 && now - gatherer.offered_at <= kOfferHolds &&
-         now >= gatherer.rests_until;
+bool GathererSelector::is_eligible(const Gatherer& gatherer, TimePoint now) {
+  return gatherer.room > 0 && now - gatherer.offered_at <= kOfferLifetime &&
+         now >= gatherer.backoff_until;
 }
 
-bool GathererChoice::has_choice(TimePoint now) const {
+bool GathererSelector::has_candidate(TimePoint now) const {
   return std::any_of(
       this->gatherers.begin(), this->gatherers.end(),
-      [now](const Row& row) { return is_open(row.second, now); });
+      [now](const Entry& entry) { return is_eligible(entry.second, now); });
 }
 
-std::optional<GathererChoice::Pick> GathererChoice::choose(TimePoint now) {
-  Row* best = nullptr;
-  const auto order = [this](const Row& row) {
-    return std::pair(row.second.under_way, row.first == this->last);
+std::optional<GathererSelector::Selection> GathererSelector::select(
+    TimePoint now) {
+  Entry* best = nullptr;
+  const auto rank = [this](const Entry& entry) {
+    return std::pair(entry.second.in_flight,
+                     entry.first == this->last_selected);
   };
-  for (Row& row : this->gatherers) {
-    if (is_open(row.second, now) && (!best || order(row) < order(*best))) {
-      best = &row;
+  for (Entry& entry : this->gatherers) {
+    if (is_eligible(entry.second, now) &&
+        (!best || rank(entry) < rank(*best))) {
+      best = &entry;
     }
   }
   if (!best) {
     return std::nullopt;
   }
   --best->second.room;
-  ++best->second.under_way;
-  this->last = best->first;
-  return Pick{best->first, best->second.offer};
+  ++best->second.in_flight;
+  this->last_selected = best->first;
+  return Selection{best->first, best->second.offer};
 }
 
-void GathererChoice::on_taken(const std::string& member) {
-  this->gatherers[member].rest = Duration::zero();
+void GathererSelector::on_taken(const std::string& member) {
+  this->gatherers[member].backoff = Duration::zero();
 }
 
-void GathererChoice::on_refused(const std::string& member) {
+void GathererSelector::on_refused(const std::string& member) {
   this->gatherers[member].room = 0;
 }
 
-void GathererChoice::on_silent(const std::string& member, TimePoint now) {
+void GathererSelector::on_unresponsive(const std::string& member,
+                                       TimePoint now) {
   Gatherer& gatherer = this->gatherers[member];
-  gatherer.rest =
-      std::clamp<Duration>(gatherer.rest * 2, kFirstRest, kLongestRest);
-  gatherer.rests_until = now + gatherer.rest;
+  gatherer.backoff =
+      std::clamp<Duration>(gatherer.backoff * 2, kInitialBackoff, kMaxBackoff);
+  gatherer.backoff_until = now + gatherer.backoff;
 }
 
-void GathererChoice::on_end(const std::string& member) {
+void GathererSelector::on_end(const std::string& member) {
   const auto gatherer = this->gatherers.find(member);
-  if (gatherer != this->gatherers.end() && gatherer->second.under_way > 0) {
-    --gatherer->second.under_way;
+  if (gatherer != this->gatherers.end() && gatherer->second.in_flight > 0) {
+    --gatherer->second.in_flight;
   }
 }
 
-void GathererChoice::forget_old(TimePoint now) {
-  std::erase_if(this->gatherers, [now](const Row& row) {
-    return row.second.under_way == 0 &&
-           now - row.second.offered_at > kForgottenAfter;
+void GathererSelector::remove_stale(TimePoint now) {
+  std::erase_if(this->gatherers, [now](const Entry& entry) {
+    return entry.second.in_flight == 0 &&
+           now - entry.second.offered_at > kStaleAfter;
   });
 }
 
--- a/ibismux/gather/gatherer_choice.h
+++ b/ibismux/gather/gatherer_choice.h
@@ -15,64 +15,65 @@
 /// offers and by what became of former queries.
 ///
 /// An offer holds for a moment only: a peer that has been cut off, stopped or
-/// lost is left out within `kOfferHolds`, and one that doesn't take a query up
-/// at once is left out before that.
+/// lost is left out within `kOfferLifetime`, and one that doesn't take a query
+/// up at once is left out before that.
 ///
 /// No sockets, no clock of its own; not thread safe. The times given never go
 /// back.
-class GathererChoice {
+class GathererSelector {
  public:
-  /// How long an offer counts; several times the pause between two.
-  static constexpr std::chrono::milliseconds kOfferHolds{600};
+  /// How long an offer is valid; several times the interval between offers.
+  static constexpr std::chrono::milliseconds kOfferLifetime{600};
 
-  struct Pick {
+  struct Selection {
     std::string member;
     std::uint64_t offer = 0;
   };
 
-  /// @param room How many queries more the peer takes; 0 withdraws the offer.
+  /// @param room How many more queries the peer takes; 0 withdraws the offer.
   void on_offer(const std::string& member,
                 std::uint64_t sequence,
                 std::size_t room,
                 TimePoint now);
 
-  /// The peer to which the next query goes; it counts as under way there until
-  /// `on_end()`. Nothing: the query is gathered here.
-  [[nodiscard]] std::optional<Pick> choose(TimePoint now);
-  [[nodiscard]] bool has_choice(TimePoint now) const;
+  /// Returns the peer that gathers the next query, which counts as in flight
+  /// there until `on_end()`, or nothing if the query is to be gathered here.
+  [[nodiscard]] std::optional<Selection> select(TimePoint now);
+  [[nodiscard]] bool has_candidate(TimePoint now) const;
 
-  /// @name What becomes of a query
+  /// @name Results of a query
   /// @{
   void on_taken(const std::string& member);
-  /// The peer didn't take it; it is left out until its next offer.
+  /// The peer refused the query; it is skipped until its next offer.
   void on_refused(const std::string& member);
-  /// No confirmation has come; the peer is left out for a while, longer each
-  /// time.
-  void on_silent(const std::string& member, TimePoint now);
-  /// The query has ended, in whatever way.
+  /// The peer did not report in time that it took the query, or the request to
+  /// it failed. It is skipped for a time that doubles with each such query.
+  void on_unresponsive(const std::string& member, TimePoint now);
+  /// The query has ended, with any result.
   void on_end(const std::string& member);
   /// @}
 
  private:
-  // After a query that was not taken up in time.
-  static constexpr std::chrono::milliseconds kFirstRest{500};
-  static constexpr std::chrono::milliseconds kLongestRest{4000};
+  // Limits of the exponential backoff after `on_unresponsive()`.
+  static constexpr std::chrono::milliseconds kInitialBackoff{500};
+  static constexpr std::chrono::milliseconds kMaxBackoff{4000};
 
   struct Gatherer {
     std::uint64_t offer = 0;
     std::size_t room = 0;
     TimePoint offered_at = TimePoint::min();
-    std::size_t under_way = 0;
-    Duration rest{0};
-    TimePoint rests_until = TimePoint::min();
+    std::size_t in_flight = 0;
+    Duration backoff{0};
+    TimePoint backoff_until = TimePoint::min();
   };
-  using Row = std::map<std::string, Gatherer>::value_type;
+  using Entry = std::map<std::string, Gatherer>::value_type;
 
-  [[nodiscard]] static bool is_open(const Gatherer& gatherer, TimePoint now);
-  void forget_old(TimePoint now);
+  [[nodiscard]] static bool is_eligible(const Gatherer& gatherer,
+                                        TimePoint now);
+  void remove_stale(TimePoint now);
 
   std::map<std::string, Gatherer> gatherers;
-  std::string last;  ///< The one chosen last: of equal ones others go first.
+  std::string last_selected;  ///< Goes last among equally loaded peers.
 };
 
 }  // namespace ibismux::gather
--- a/ibismux/gather/log_refused.h
+++ b/ibismux/gather/log_refused.h
@@ -9,8 +9,8 @@
 
 namespace ibismux::gather {
 
-/// Logs that a message of `from` can't be read, and why. Thread safe as the log
-/// is.
+/// Logs that a message from `from` can't be decoded, and why. As thread safe as
+/// the log.
 inline void log_refused(eventlog::EventLog& log,
                         std::string_view event,
                         const Incarnation& from,
--- a/ibismux/gather/messages.cc
+++ b/ibismux/gather/messages.cc
@@ -11,8 +11,8 @@
 
 using std::chrono::microseconds;
 
-// Longer than any caller waits; beyond it a frame is damaged.
-constexpr std::int64_t kLongestTime = 3'600'000'000;  // us
+// Longer than any caller waits; a frame with a longer time is corrupt.
+constexpr std::int64_t kMaxTimeUs = 3'600'000'000;
 
 std::int64_t to_micros(Duration time) {
   return std::chrono::duration_cast<microseconds>(time).count();
@@ -86,7 +86,7 @@
   return peer::encode(out);
 }
 
-std::string encode_about(std::uint64_t number) {
+std::string encode_query_number(std::uint64_t number) {
   wire::About out;
   out.__set_number(static_cast<std::int64_t>(number));
   return peer::encode(out);
@@ -109,8 +109,8 @@
   if (!in) {
     return tl::unexpected(std::move(in.error()));
   }
-  if (in->elapsed_us < 0 || in->elapsed_us > kLongestTime || in->left_us < 0 ||
-      in->left_us > kLongestTime) {
+  if (in->elapsed_us < 0 || in->elapsed_us > kMaxTimeUs || in->left_us < 0 ||
+      in->left_us > kMaxTimeUs) {
     return fail(ErrorKind::kProtocolError, "a time is out of range");
   }
   GatherQuery query;
@@ -163,7 +163,7 @@
   return answer;
 }
 
-Result<std::uint64_t> decode_about(const std::string& payload) {
+Result<std::uint64_t> decode_query_number(const std::string& payload) {
   const auto in = peer::decode<wire::About>(payload);
   if (!in) {
     return tl::unexpected(in.error());
--- a/ibismux/gather/messages.h
+++ b/ibismux/gather/messages.h
@@ -12,40 +12,43 @@
 
 namespace ibismux::gather {
 
-/// kGatherOffer.
+/// Payload of kGatherOffer.
 struct GatherOffer {
   std::uint64_t sequence = 0;
-  std::size_t room = 0;  ///< Queries that may be handed over; 0: no more.
+  std::size_t room = 0;  ///< How many more queries the sender takes.
 };
 
-/// kGatherQuery. Times travel as what has passed and what is left.
+/// Payload of kGatherQuery. Times are transmitted as elapsed and remaining
+/// durations.
 struct GatherQuery {
-  std::uint64_t number = 0;         ///< Of the sender's own count.
-  std::uint64_t offer = 0;          ///< The offer that the sender goes by.
-  std::uint64_t configuration = 0;  ///< By which the query was routed.
+  std::uint64_t number = 0;         ///< Unique within one run of the sender.
+  std::uint64_t offer = 0;          ///< Sequence number of the offer used.
+  std::uint64_t configuration = 0;  ///< Version that routed the query.
   dispatch::CallerRequest request;
 };
 
-/// The answer to kGatherQuery.
+/// The reply to kGatherQuery.
 struct GatherAnswer {
-  /// Absent: not taken; no leaf was asked, and none will be.
+  /// Absent if the query was not taken: no leaf was or will be called.
   std::optional<dispatch::Outcome> outcome;
-  std::string reason;  ///< Why it was not taken.
+  std::string reason;  ///< Why the query was not taken.
 };
 
-/// @name Payloads of frames between daemons. Thread safe.
+/// @name Encoding of frame payloads. Thread safe.
 /// @{
 [[nodiscard]] std::string encode(const GatherOffer& offer);
 [[nodiscard]] std::string encode(const GatherQuery& query, TimePoint now);
 [[nodiscard]] std::string encode(const GatherAnswer& answer);
-/// kGatherTaken, kGatherConfirm and kGatherCancel: which query they are about.
-[[nodiscard]] std::string encode_about(std::uint64_t number);
+/// Payload of kGatherTaken, kGatherConfirm and kGatherCancel: the number of the
+/// query.
+[[nodiscard]] std::string encode_query_number(std::uint64_t number);
 /// Errors: kProtocolError.
 [[nodiscard]] Result<GatherOffer> decode_offer(const std::string& payload);
 [[nodiscard]] Result<GatherQuery> decode_query(const std::string& payload,
                                                TimePoint now);
 [[nodiscard]] Result<GatherAnswer> decode_answer(const std::string& payload);
-[[nodiscard]] Result<std::uint64_t> decode_about(const std::string& payload);
+[[nodiscard]] Result<std::uint64_t> decode_query_number(
+    const std::string& payload);
 /// @}
 
 }  // namespace ibismux::gather
--- a/tests/gather/gather_exchange_test.cc
+++ b/tests/gather/gather_exchange_test.cc
@@ -1,4 +1,4 @@
-// A daemon that hands queries over, and one that gathers them.
+// Tests GatherClient and GatherHost against each other.
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -21,7 +21,7 @@
 using std::chrono::milliseconds;
 using Delegated = dispatch::QueryDelegate::Delegated;
 
-/// Answers when told to; remembers what it was asked and what was given up.
+/// Answers only while `answers` is set; records the requests and cancellations.
 class ManualGatherer : public dispatch::QueryGatherer {
  public:
   explicit ManualGatherer(boost::asio::io_context& loop) : loop(loop) {}
@@ -37,7 +37,7 @@
     this->asked.push_back(request.id);
     this->confirmation = std::move(confirmation);
     cancelled->on_cancel([this, id = request.id] {
-      this->given_up.push_back(id);
+      this->cancelled_ids.push_back(id);
       this->answers = true;
     });
     boost::asio::steady_timer timer(this->loop);
@@ -51,9 +51,10 @@
 
   std::uint64_t version = 5;
   bool answers = true;
-  std::shared_ptr<const dispatch::Confirmation> confirmation;  ///< The last.
+  std::shared_ptr<const dispatch::Confirmation>
+      confirmation;  ///< Of the last query.
   std::vector<std::string> asked;
-  std::vector<std::string> given_up;
+  std::vector<std::string> cancelled_ids;
 
  private:
   boost::asio::io_context& loop;
@@ -124,7 +125,7 @@
   cr_assert(merged.records == "records");
 }
 
-Test(gather_exchange, another_configuration_there_means_gathering_here) {
+Test(gather_exchange, a_query_on_another_configuration_is_refused) {
   Fixture fixture;
   const Delegated& delegated = fixture.run("q1", 6);
   cr_assert(!delegated.outcome.has_value());
@@ -132,8 +133,8 @@
   cr_assert(fixture.gatherer.asked.empty());
 }
 
-// Failure: a query waits for its deadline at a peer that was cut off.
-Test(gather_exchange, a_query_that_is_not_taken_up_is_gathered_here) {
+// Guards against a query that waits until its deadline for an unreachable peer.
+Test(gather_exchange, an_unconfirmed_query_is_gathered_locally) {
   Fixture fixture;
   fixture.cluster.hold("weak", "wide");
   const Delegated& delegated = fixture.run("q1");
@@ -142,8 +143,9 @@
   cr_assert(!fixture.client->is_available(Clock::now()));
 }
 
-// Failure: more leafs of a shard get the query than its route allows.
-Test(gather_exchange, a_peer_whose_confirmation_is_lost_gets_none) {
+// Guards against calls to more leafs of a shard than the route allows: the
+// client gathers the query itself, and so does the peer.
+Test(gather_exchange, a_late_confirmation_is_not_acknowledged) {
   Fixture fixture;
   fixture.gatherer.answers = false;
   fixture.cluster.hold("wide", "weak");
@@ -157,7 +159,7 @@
   cr_assert(!fixture.gatherer.confirmation->given);
 }
 
-Test(gather_exchange, a_peer_learns_that_its_confirmation_has_come) {
+Test(gather_exchange, a_confirmation_is_acknowledged) {
   Fixture fixture;
   fixture.gatherer.answers = false;
   fixture.begin("q1");
@@ -167,8 +169,9 @@
   }));
 }
 
-// Failure: leafs work for callers that left while a cut held up frames.
-Test(gather_exchange, a_query_on_an_old_offer_is_not_taken) {
+// Guards against leafs that work for callers that gave up while a network
+// partition delayed the frames.
+Test(gather_exchange, a_query_on_an_expired_offer_is_refused) {
   Fixture fixture;
   fixture.cluster.hold("weak", "wide");
   fixture.begin("q1");
@@ -181,7 +184,7 @@
   cr_assert(fixture.gatherer.asked.empty());
 }
 
-Test(gather_exchange, the_end_of_a_callers_interest_reaches_the_peer) {
+Test(gather_exchange, a_cancelled_query_is_cancelled_at_the_peer) {
   Fixture fixture;
   fixture.gatherer.answers = false;
   const auto token = fixture.begin("q1");
@@ -191,12 +194,13 @@
   const auto& outcome = fixture.ended["q1"].outcome;
   cr_assert(outcome.has_value() && !outcome->has_value());
   cr_assert(outcome->error().kind == ErrorKind::kCancelled);
-  cr_assert(
-      fixture.run_until([&] { return !fixture.gatherer.given_up.empty(); }));
+  cr_assert(fixture.run_until(
+      [&] { return !fixture.gatherer.cancelled_ids.empty(); }));
 }
 
-// Failure: a query runs again whose peer has used its attempts up.
-Test(gather_exchange, a_taken_query_whose_peer_is_lost_ends_unknown) {
+// Guards against a second run of a query whose peer may have made all attempts
+// that the route allows.
+Test(gather_exchange, losing_the_peer_of_a_taken_query_is_outcome_unknown) {
   Fixture fixture;
   fixture.gatherer.answers = false;
   fixture.begin("q1");
@@ -208,11 +212,11 @@
   const auto& outcome = fixture.ended["q1"].outcome;
   cr_assert(outcome.has_value() && !outcome->has_value());
   cr_assert(outcome->error().execution == Execution::kUnknown);
-  cr_assert(
-      fixture.run_until([&] { return !fixture.gatherer.given_up.empty(); }));
+  cr_assert(fixture.run_until(
+      [&] { return !fixture.gatherer.cancelled_ids.empty(); }));
 }
 
-Test(gather_exchange, a_host_that_stops_takes_nothing_new_and_ends_the_rest) {
+Test(gather_exchange, a_draining_host_withdraws_offers_and_finishes) {
   Fixture fixture;
   fixture.gatherer.answers = false;
   fixture.begin("q1");
--- a/tests/gather/gather_roles_test.cc
+++ b/tests/gather/gather_roles_test.cc
@@ -27,14 +27,14 @@
   cr_assert(roles.served == std::vector<std::string>({"h5", "h6", "h7"}));
 }
 
-Test(gather_roles, the_others_serve_nobody) {
+Test(gather_roles, a_host_with_a_narrow_link_serves_no_others) {
   const GatherRoles roles = assign_roles(view_of("h1"));
   cr_assert(!roles.gathers);
   cr_assert(roles.gatherers == 2);
   cr_assert(roles.served.empty());
 }
 
-Test(gather_roles, hosts_that_are_alike_have_no_roles) {
+Test(gather_roles, hosts_with_equal_links_have_no_roles) {
   membership::MembershipView view = view_of("h4");
   for (membership::Member& member : view.members) {
     member.link_mbps = 1000;
--- a/tests/gather/gatherer_choice_test.cc
+++ b/tests/gather/gatherer_choice_test.cc
@@ -9,38 +9,38 @@
 
 struct Fixture {
   TimePoint now = Clock::now();
-  GathererChoice choice;
+  GathererSelector selector;
   std::uint64_t sequence = 0;
 
   void offer(const std::string& member, std::size_t room = 10) {
-    this->choice.on_offer(member, ++this->sequence, room, this->now);
+    this->selector.on_offer(member, ++this->sequence, room, this->now);
   }
   std::string chosen() {
-    const auto pick = this->choice.choose(this->now);
-    return pick ? pick->member : "";
+    const auto selection = this->selector.select(this->now);
+    return selection ? selection->member : "";
   }
 };
 
-Test(gatherer_choice, without_offers_queries_are_gathered_here) {
+Test(gatherer_selector, without_offers_no_peer_is_selected) {
   Fixture fixture;
-  cr_assert(!fixture.choice.has_choice(fixture.now));
+  cr_assert(!fixture.selector.has_candidate(fixture.now));
   cr_assert(fixture.chosen().empty());
 }
 
-Test(gatherer_choice, queries_are_spread_over_those_that_offer) {
+Test(gatherer_selector, queries_are_spread_over_peers_with_offers) {
   Fixture fixture;
   fixture.offer("a");
   fixture.offer("b");
   const std::string first = fixture.chosen();
   cr_assert(fixture.chosen() != first);
-  fixture.choice.on_end("a");
-  fixture.choice.on_end("b");
+  fixture.selector.on_end("a");
+  fixture.selector.on_end("b");
   const std::string third = fixture.chosen();
-  fixture.choice.on_end(third);
+  fixture.selector.on_end(third);
   cr_assert(fixture.chosen() != third);
 }
 
-Test(gatherer_choice, one_strong_host_left_takes_no_more_than_it_offered) {
+Test(gatherer_selector, a_peer_gets_no_more_queries_than_it_offered) {
   Fixture fixture;
   fixture.offer("a", 2);
   cr_assert(fixture.chosen() == "a");
@@ -48,14 +48,14 @@
   cr_assert(fixture.chosen().empty());
 }
 
-Test(gatherer_choice, an_old_offer_counts_no_more) {
+Test(gatherer_selector, an_expired_offer_is_ignored) {
   Fixture fixture;
   fixture.offer("a");
-  fixture.now += GathererChoice::kOfferHolds + milliseconds(1);
+  fixture.now += GathererSelector::kOfferLifetime + milliseconds(1);
   cr_assert(fixture.chosen().empty());
 }
 
-Test(gatherer_choice, with_all_gatherers_stopping_nothing_is_handed_over) {
+Test(gatherer_selector, withdrawn_offers_are_ignored) {
   Fixture fixture;
   fixture.offer("a");
   fixture.offer("b");
@@ -64,26 +64,27 @@
   cr_assert(fixture.chosen().empty());
 }
 
-Test(gatherer_choice, one_that_refuses_is_left_out_until_it_offers_again) {
+Test(gatherer_selector, a_refusing_peer_is_skipped_until_its_next_offer) {
   Fixture fixture;
   fixture.offer("a");
   cr_assert(fixture.chosen() == "a");
-  fixture.choice.on_refused("a");
+  fixture.selector.on_refused("a");
   cr_assert(fixture.chosen().empty());
   fixture.offer("a");
   cr_assert(fixture.chosen() == "a");
 }
 
-// Failure: each query waits for a peer that can be heard but not reached.
-Test(gatherer_choice, one_that_stays_silent_is_tried_ever_more_seldom) {
+// Guards against a wait in each query for a peer whose offers arrive but which
+// does not receive queries.
+Test(gatherer_selector, an_unresponsive_peer_is_retried_with_backoff) {
   Fixture fixture;
   int tries = 0;
   for (int i = 0; i < 100; ++i) {
     fixture.offer("a");
     if (!fixture.chosen().empty()) {
       ++tries;
-      fixture.choice.on_silent("a", fixture.now);
-      fixture.choice.on_end("a");
+      fixture.selector.on_unresponsive("a", fixture.now);
+      fixture.selector.on_end("a");
     }
     fixture.now += milliseconds(100);
   }
@@ -91,8 +92,8 @@
   fixture.now += std::chrono::seconds(4);
   fixture.offer("a");
   cr_assert(fixture.chosen() == "a");
-  fixture.choice.on_taken("a");
-  fixture.choice.on_silent("a", fixture.now);
+  fixture.selector.on_taken("a");
+  fixture.selector.on_unresponsive("a", fixture.now);
   fixture.now += milliseconds(500);
   fixture.offer("a");
   cr_assert(fixture.chosen() == "a");
--- a/tests/gather/messages_test.cc
+++ b/tests/gather/messages_test.cc
@@ -27,7 +27,7 @@
   return query;
 }
 
-Test(gather_messages, a_query_keeps_all_but_the_time_on_its_way) {
+Test(gather_messages, a_query_round_trips_except_for_transit_time) {
   const TimePoint sent = Clock::now();
   const TimePoint read = sent + std::chrono::hours(1);
   const auto got = decode_query(encode(query(sent), sent), read).value();
@@ -42,7 +42,7 @@
   cr_assert(got.request.message->body == std::string("\0\xff", 2));
 }
 
-Test(gather_messages, an_answer_keeps_its_shards) {
+Test(gather_messages, an_answer_round_trips) {
   dispatch::MergedAnswer merged{{"r1", "r2"}, 3, std::string(32, '\xfe')};
   const GatherAnswer answer{dispatch::Outcome(dispatch::Answer(merged)), {}};
   const auto got = decode_answer(encode(answer)).value();
@@ -52,7 +52,7 @@
   cr_assert(read.records == merged.records);
 }
 
-Test(gather_messages, a_failure_keeps_its_promise_and_its_time_to_return) {
+Test(gather_messages, an_error_keeps_its_execution_and_retry_time) {
   Error error = make_error(ErrorKind::kOverloaded, "queues");
   error.execution = Execution::kNotRun;
   error.retry_after = milliseconds(120);
@@ -76,13 +76,13 @@
   cr_assert(got.reason == "no room");
 }
 
-Test(gather_messages, damaged_frames_are_refused) {
+Test(gather_messages, corrupt_frames_are_refused) {
   const TimePoint now = Clock::now();
   cr_assert(!decode_offer("\xff\xff").has_value());
   cr_assert(!decode_query("x", now).has_value());
   cr_assert(!decode_answer("\x01\x02").has_value());
-  cr_assert(!decode_about("\xff").has_value());
-  // An answer that names no shard can't be passed on as a success.
+  cr_assert(!decode_query_number("\xff").has_value());
+  // An answer without receipts must not be forwarded as a success.
   const GatherAnswer empty{
       dispatch::Outcome(dispatch::Answer(dispatch::MergedAnswer{})), {}};
   cr_assert(!decode_answer(encode(empty)).has_value());
--- a/thrift/gather.thrift
+++ b/thrift/gather.thrift
@@ -1,12 +1,12 @@
-/// How a daemon has a query over many shards gathered by a peer.
-/// docs/design/gathering.md says when and why.
+/// Messages by which a daemon delegates the gathering of a query over many
+/// shards to a peer. docs/design/gathering.md says when and why.
 namespace cpp ibismux.gather.wire
 
-/// kGatherOffer: the sender gathers queries for the receiver.
+/// kGatherOffer: the sender offers to gather queries for the receiver.
 struct Offer {
-  /// Rises with each offer of one run of the sender.
+  /// Increases with each offer during one run of the sender.
   1: i64 sequence
-  /// How many queries more it may take now; 0 withdraws former offers.
+  /// How many more queries the sender takes; 0 withdraws earlier offers.
   2: i32 room
 }
 
@@ -15,13 +15,13 @@
   2: string value
 }
 
-/// kGatherQuery: a caller's query, to be gathered whole.
+/// kGatherQuery: a caller's query, to be gathered from all of its shards.
 struct Query {
-  /// Tells the queries of one run of the sender apart.
+  /// Unique among the queries of one run of the sender.
   1: i64 number
-  /// The offer that the sender goes by.
+  /// Sequence number of the offer on which the query is sent.
   2: i64 offer
-  /// Of the configuration by which the sender found the query's route.
+  /// Version of the configuration with which the sender routed the query.
   3: i64 configuration
   4: string request_id
   5: string host
@@ -30,31 +30,33 @@
   8: string target
   9: list<Field> fields
   10: binary body
-  /// Since the query reached the sender, and until its caller stops waiting.
+  /// Time since the sender received the query, and time until its caller stops
+  /// waiting.
   11: i64 elapsed_us
   12: i64 left_us
   13: bool opens_connection
 }
 
-/// kGatherTaken, kGatherConfirm and kGatherCancel, each about one query of the pair.
+/// kGatherTaken, kGatherConfirm and kGatherCancel: each refers to one query
+/// between the two daemons.
 struct About {
   1: i64 number
 }
 
-/// The answer to kGatherQuery.
+/// The reply to kGatherQuery.
 struct Answer {
-  /// Not taken: no leaf was asked, and none will be.
+  /// False if the query was not taken: no leaf was or will be called.
   1: bool taken
   /// Why it was not taken, for the log.
   2: string reason
-  /// Absent where `error_kind` is set.
+  /// Absent if `error_kind` is set.
   3: list<string> receipts
   4: i32 missing_shards
   5: binary records
-  /// Empty: the query was answered.
+  /// Empty if the query was answered.
   6: string error_kind
   7: string error_message
   8: bool not_run
-  /// Negative: none is given.
+  /// Negative if no retry time is given.
   9: i64 retry_after_ms
 }
