--- a/ibismux/quarantine/crash_watch.h
+++ b/ibismux/quarantine/crash_watch.h
@@ -47,8 +47,8 @@
   /// False once a leaf has answered this attempt.
   [[nodiscard]] bool is_hopeless() const;
 
-  /// Whether the caller has to find out if a leaf whose connection was lost has
-  /// ended. Not needed once a leaf has answered the request.
+  /// Whether to determine if a leaf whose connection was lost has ended. This is
+  /// not needed once another leaf has answered the request.
   [[nodiscard]] bool asks_for_cause() const noexcept { return !this->answered; }
 
   void on_send() noexcept { ++this->in_flight; }
