--- a/ibismux/dispatch/dispatcher_requests.cc
+++ b/ibismux/dispatch/dispatcher_requests.cc
@@ -84,11 +84,11 @@
   context->digest = digest_of(request);
   context->crashes = std::make_shared<quarantine::CrashWatch>(
       this->quarantined, context->digest, &unix_now);
-  if (context->crashes->is_hopeless()) {
+  if (context->crashes->is_quarantined()) {
     Error error = make_error(
         ErrorKind::kQuarantined,
         "each leaf that ran " + context->digest.text() + " has ended");
-    error.retry_after = context->crashes->held_for();
+    error.retry_after = context->crashes->remaining_quarantine();
     return this->refuse(request, std::move(error), &route);
   }
   if (!route.allowed_regions.empty()) {
--- a/ibismux/dispatch/leaf.cc
+++ b/ibismux/dispatch/leaf.cc
@@ -155,7 +155,7 @@
   self->links.give_back(std::move(link), true);
   const bool is_lost = !end.reply && sent && !order.active->given_up &&
                        end.reply.error().kind == ErrorKind::kLeafUnavailable;
-  if (is_lost && order.crashes && order.crashes->asks_for_cause()) {
+  if (is_lost && order.crashes && order.crashes->needs_loss_cause()) {
     const bool ended = co_await has_ended(self);
     end.leaf_ended = ended;
   }
--- a/ibismux/dispatch/request_run.cc
+++ b/ibismux/dispatch/request_run.cc
@@ -154,7 +154,7 @@
   if (this->ended || this->starting) {
     return;
   }
-  if (this->shared->crashes->is_hopeless()) {
+  if (this->shared->crashes->is_quarantined()) {
     this->fail_run(ErrorKind::kQuarantined, "each leaf that ran it has ended");
     return;
   }
@@ -287,7 +287,7 @@
   error.execution = not_run ? Execution::kNotRun : Execution::kUnknown;
   if (not_run) {
     error.retry_after = kind == ErrorKind::kQuarantined
-                            ? this->shared->crashes->held_for()
+                            ? this->shared->crashes->remaining_quarantine()
                             : this->leafs_pause();
   }
   this->finish(tl::unexpected(std::move(error)));
--- a/ibismux/quarantine/crash_watch.cc
+++ b/ibismux/quarantine/crash_watch.cc
@@ -18,7 +18,7 @@
              : this->table.standing(this->digest, this->clock());
 }
 
-std::chrono::milliseconds CrashWatch::held_for() const {
+std::chrono::milliseconds CrashWatch::remaining_quarantine() const {
   return this->table.held_until(this->digest) - this->clock();
 }
 
@@ -31,7 +31,7 @@
          (state == QuarantineState::kSuspect && this->in_flight == 0);
 }
 
-bool CrashWatch::is_hopeless() const {
+bool CrashWatch::is_quarantined() const {
   return !this->answered && this->standing() == QuarantineState::kQuarantined;
 }
 
--- a/ibismux/quarantine/crash_watch.h
+++ b/ibismux/quarantine/crash_watch.h
@@ -40,16 +40,18 @@
   CrashWatch(QuarantineTable& table, RequestDigest digest, Clock clock);
 
   /// Whether a call may start now. If not, a call in flight has to end first,
-  /// or the request is quarantined (see `is_hopeless()`).
+  /// or the request is quarantined (see `is_quarantined()`).
   [[nodiscard]] bool may_send() const;
 
   /// Whether the request is quarantined, so that no further leaf is called.
   /// False once a leaf has answered this attempt.
-  [[nodiscard]] bool is_hopeless() const;
+  [[nodiscard]] bool is_quarantined() const;
 
-  /// Whether to determine if a leaf whose connection was lost has ended. This is
-  /// not needed once another leaf has answered the request.
-  [[nodiscard]] bool asks_for_cause() const noexcept { return !this->answered; }
+  /// Whether to determine if a leaf whose connection was lost has ended. This
+  /// is not needed once another leaf has answered the request.
+  [[nodiscard]] bool needs_loss_cause() const noexcept {
+    return !this->answered;
+  }
 
   void on_send() noexcept { ++this->in_flight; }
   /// Precondition: each call was preceded by its own `on_send()`.
@@ -59,7 +61,7 @@
 
   [[nodiscard]] QuarantineState standing() const;
   /// Time until the quarantine ends. Precondition: the request is quarantined.
-  [[nodiscard]] std::chrono::milliseconds held_for() const;
+  [[nodiscard]] std::chrono::milliseconds remaining_quarantine() const;
 
   /// @name Calls that wait until they may start
   /// @{
--- a/tests/quarantine/crash_watch_test.cc
+++ b/tests/quarantine/crash_watch_test.cc
@@ -61,7 +61,7 @@
     watch.on_send();
     watch.on_end(End::kLeafEnded, leaf);
   }
-  cr_assert(watch.is_hopeless());
+  cr_assert(watch.is_quarantined());
   cr_assert(!watch.may_send());
   cr_assert(!attempts.begin().may_send());
 }
@@ -106,7 +106,7 @@
   other.on_end(End::kLeafEnded, "b");
   one.on_send();
   one.on_end(End::kLeafEnded, "c");
-  cr_assert(other.is_hopeless());
+  cr_assert(other.is_quarantined());
 }
 
 }  // namespace
