--- a/ibismux/edge/quarantine_feed.cc
+++ b/ibismux/edge/quarantine_feed.cc
@@ -25,9 +25,9 @@
   }
   const auto digest = quarantine::RequestDigest::parse(event.object.name);
   if (digest && event.lost) {
-    this->table.take_loss(*digest);
+    this->table.apply_loss(*digest);
   } else if (digest) {
-    this->table.take_removal(*digest);
+    this->table.apply_removal(*digest);
   }
 }
 
@@ -40,7 +40,7 @@
         .with("reason", digest ? record.error().message : "not a digest");
     return;
   }
-  this->table.take(*digest, *record, object.version, unix_now());
+  this->table.apply_object(*digest, *record, object.version, unix_now());
 }
 
 }  // namespace ibismux::edge
--- a/ibismux/quarantine/quarantine_table.cc
+++ b/ibismux/quarantine/quarantine_table.cc
@@ -46,10 +46,10 @@
   return true;
 }
 
-void QuarantineTable::take(const RequestDigest& digest,
-                           const QuarantineRecord& record,
-                           store::Version version,
-                           UnixTime now) {
+void QuarantineTable::apply_object(const RequestDigest& digest,
+                                   const QuarantineRecord& record,
+                                   store::Version version,
+                                   UnixTime now) {
   Row& row = this->row(digest, now);
   if (row.cleared && version > row.stored_version) {
     // The object was written after the version that was cleared here, so it
@@ -66,7 +66,7 @@
   }
 }
 
-void QuarantineTable::take_removal(const RequestDigest& digest) {
+void QuarantineTable::apply_removal(const RequestDigest& digest) {
   const auto found = this->rows.find(digest);
   if (found == this->rows.end()) {
     return;
@@ -80,7 +80,7 @@
   this->rows.erase(found);
 }
 
-void QuarantineTable::take_loss(const RequestDigest& digest) {
+void QuarantineTable::apply_loss(const RequestDigest& digest) {
   const auto found = this->rows.find(digest);
   if (found == this->rows.end()) {
     return;
--- a/ibismux/quarantine/quarantine_table.h
+++ b/ibismux/quarantine/quarantine_table.h
@@ -60,15 +60,15 @@
   /// @{
   /// An object was written. Changes that it doesn't contain remain to be
   /// written.
-  void take(const RequestDigest& digest,
-            const QuarantineRecord& record,
-            store::Version version,
-            UnixTime now);
+  void apply_object(const RequestDigest& digest,
+                    const QuarantineRecord& record,
+                    store::Version version,
+                    UnixTime now);
   /// An object was removed, by another daemon or an operator.
-  void take_removal(const RequestDigest& digest);
+  void apply_removal(const RequestDigest& digest);
   /// The store was restored from a backup that lacks the object, which is then
   /// written again.
-  void take_loss(const RequestDigest& digest);
+  void apply_loss(const RequestDigest& digest);
   /// @}
 
   /// @name Changes to write to the store
--- a/ibismux/quarantine/quarantine_writer.cc
+++ b/ibismux/quarantine/quarantine_writer.cc
@@ -169,7 +169,7 @@
   if (!object) {
     const bool absent = object.error().kind == ErrorKind::kNotFound;
     if (absent) {
-      self->table.take_removal(digest);
+      self->table.apply_removal(digest);
     }
     co_return absent;
   }
@@ -180,8 +180,8 @@
         .with("reason", record.error().message);
   }
   // An object that can't be decoded counts as empty and is replaced.
-  self->table.take(digest, record.value_or(QuarantineRecord{}), object->version,
-                   unix_now());
+  self->table.apply_object(digest, record.value_or(QuarantineRecord{}),
+                           object->version, unix_now());
   co_return true;
 }
 
--- a/tests/quarantine/quarantine_table_test.cc
+++ b/tests/quarantine/quarantine_table_test.cc
@@ -63,7 +63,7 @@
   QuarantineRecord theirs;
   theirs.add("b", kNow);
   theirs.add("c", kNow);
-  table.take(digest_of(1), theirs, 7, kNow);
+  table.apply_object(digest_of(1), theirs, 7, kNow);
   cr_assert(table.changes().empty());
   cr_assert(table.on_crash(digest_of(1), "a", kNow) ==
             QuarantineState::kQuarantined);
@@ -74,7 +74,7 @@
   QuarantineTable table;
   QuarantineRecord theirs;
   theirs.add("b", kNow);
-  table.take(digest_of(1), theirs, 7, kNow);
+  table.apply_object(digest_of(1), theirs, 7, kNow);
   cr_assert(table.on_answer(digest_of(1)));
   cr_assert(table.standing(digest_of(1), kNow) == QuarantineState::kClear);
   const auto changes = table.changes();
@@ -103,10 +103,10 @@
   QuarantineTable table;
   QuarantineRecord theirs;
   theirs.add("b", kNow);
-  table.take(digest_of(1), theirs, 7, kNow);
+  table.apply_object(digest_of(1), theirs, 7, kNow);
   table.on_answer(digest_of(1));
   theirs.add("c", kNow);
-  table.take(digest_of(1), theirs, 9, kNow);
+  table.apply_object(digest_of(1), theirs, 9, kNow);
   cr_assert(table.standing(digest_of(1), kNow) == QuarantineState::kSuspect);
   cr_assert(table.changes().empty());
 }
@@ -115,7 +115,7 @@
   QuarantineTable table;
   quarantine(table, digest_of(1));
   table.mark_written(table.changes()[0], 7);
-  table.take_removal(digest_of(1));
+  table.apply_removal(digest_of(1));
   cr_assert(table.standing(digest_of(1), kNow) == QuarantineState::kClear);
 }
 
@@ -125,7 +125,7 @@
   table.on_crash(digest_of(1), "a", kNow);
   table.mark_written(table.changes()[0], 7);
   table.on_crash(digest_of(1), "b", kNow);
-  table.take_removal(digest_of(1));
+  table.apply_removal(digest_of(1));
   cr_assert(table.changes().size() == 1 &&
             table.changes()[0].stored_version == 0);
 }
@@ -135,7 +135,7 @@
   QuarantineTable table;
   quarantine(table, digest_of(1));
   table.mark_written(table.changes()[0], 7);
-  table.take_loss(digest_of(1));
+  table.apply_loss(digest_of(1));
   cr_assert(table.standing(digest_of(1), kNow) ==
             QuarantineState::kQuarantined);
   const auto changes = table.changes();
