--- a/ibismux/dispatch/part_call.cc
+++ b/ibismux/dispatch/part_call.cc
@@ -221,7 +221,7 @@
   }
   if (this->context->crashes->on_end(what, to_string(leaf.entry().run))) {
     this->note(was_run ? "request_cleared" : "leaf_ended_under_request", leaf,
-               to_string(this->context->crashes->standing()));
+               to_string(this->context->crashes->state()));
   }
 }
 
--- a/ibismux/quarantine/crash_watch.cc
+++ b/ibismux/quarantine/crash_watch.cc
@@ -11,11 +11,11 @@
                        Clock clock)
     : table(table), digest(digest), clock(std::move(clock)) {}
 
-QuarantineState CrashWatch::standing() const {
+QuarantineState CrashWatch::state() const {
   // Avoids reading the clock in the usual case that the table is empty.
   return this->table.size() == 0
              ? QuarantineState::kClear
-             : this->table.standing(this->digest, this->clock());
+             : this->table.state(this->digest, this->clock());
 }
 
 std::chrono::milliseconds CrashWatch::remaining_quarantine() const {
@@ -26,13 +26,13 @@
   if (this->answered) {
     return true;
   }
-  const QuarantineState state = this->standing();
+  const QuarantineState state = this->state();
   return state == QuarantineState::kClear ||
          (state == QuarantineState::kSuspect && this->in_flight == 0);
 }
 
 bool CrashWatch::is_quarantined() const {
-  return !this->answered && this->standing() == QuarantineState::kQuarantined;
+  return !this->answered && this->state() == QuarantineState::kQuarantined;
 }
 
 bool CrashWatch::on_end(CallEnd end, const std::string& leaf_run) {
--- a/ibismux/quarantine/crash_watch.h
+++ b/ibismux/quarantine/crash_watch.h
@@ -59,7 +59,7 @@
   /// @return Whether the recorded evidence against the request has changed.
   bool on_end(CallEnd end, const std::string& leaf_run);
 
-  [[nodiscard]] QuarantineState standing() const;
+  [[nodiscard]] QuarantineState state() const;
   /// Time until the quarantine ends. Precondition: the request is quarantined.
   [[nodiscard]] std::chrono::milliseconds remaining_quarantine() const;
 
--- a/ibismux/quarantine/quarantine_record.cc
+++ b/ibismux/quarantine/quarantine_record.cc
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-QuarantineState QuarantineRecord::standing(UnixTime now) const noexcept {
+QuarantineState QuarantineRecord::state(UnixTime now) const noexcept {
   if (this->times_held > 0 && now < this->held_until) {
     return QuarantineState::kQuarantined;
   }
@@ -50,7 +50,7 @@
 }
 
 void QuarantineRecord::add(const std::string& leaf_run, UnixTime now) {
-  if (this->standing(now) == QuarantineState::kQuarantined) {
+  if (this->state(now) == QuarantineState::kQuarantined) {
     return;
   }
   this->insert(leaf_run);
--- a/ibismux/quarantine/quarantine_record.h
+++ b/ibismux/quarantine/quarantine_record.h
@@ -42,7 +42,7 @@
 
   [[nodiscard]] bool operator==(const QuarantineRecord&) const = default;
 
-  [[nodiscard]] QuarantineState standing(UnixTime now) const noexcept;
+  [[nodiscard]] QuarantineState state(UnixTime now) const noexcept;
 
   /// Records that a leaf has ended while running the request. A request that
   /// had been released from quarantine is quarantined again at once, for a
--- a/ibismux/quarantine/quarantine_table.cc
+++ b/ibismux/quarantine/quarantine_table.cc
@@ -5,12 +5,12 @@
 
 namespace ibismux::quarantine {
 
-QuarantineState QuarantineTable::standing(const RequestDigest& digest,
-                                          UnixTime now) const noexcept {
+QuarantineState QuarantineTable::state(const RequestDigest& digest,
+                                       UnixTime now) const noexcept {
   const auto found = this->rows.find(digest);
   return found == this->rows.end() || found->second.cleared
              ? QuarantineState::kClear
-             : found->second.record.standing(now);
+             : found->second.record.state(now);
 }
 
 UnixTime QuarantineTable::held_until(const RequestDigest& digest) const {
@@ -28,7 +28,7 @@
   row.record.add(leaf_run, now);
   row.lost = false;
   this->mark_dirty(row);
-  return row.record.standing(now);
+  return row.record.state(now);
 }
 
 bool QuarantineTable::on_answer(const RequestDigest& digest) {
@@ -180,7 +180,7 @@
   }
   const auto rank = [now](const auto& entry) {
     return std::make_tuple(
-        entry.second.record.standing(now) == QuarantineState::kQuarantined,
+        entry.second.record.state(now) == QuarantineState::kQuarantined,
         entry.second.insertion_order);
   };
   this->rows.erase(std::min_element(
--- a/ibismux/quarantine/quarantine_table.h
+++ b/ibismux/quarantine/quarantine_table.h
@@ -39,8 +39,8 @@
     bool is_known_to_all = false;
   };
 
-  [[nodiscard]] QuarantineState standing(const RequestDigest& digest,
-                                         UnixTime now) const noexcept;
+  [[nodiscard]] QuarantineState state(const RequestDigest& digest,
+                                      UnixTime now) const noexcept;
 
   /// When the quarantine of a request ends. Precondition: it is quarantined.
   [[nodiscard]] UnixTime held_until(const RequestDigest& digest) const;
--- a/tests/quarantine/crash_watch_test.cc
+++ b/tests/quarantine/crash_watch_test.cc
@@ -50,7 +50,7 @@
   for (int i = 0; i < 10; ++i) {
     watch.on_end(End::kLeafEnded, std::to_string(i));
   }
-  cr_assert(watch.standing() == QuarantineState::kSuspect);
+  cr_assert(watch.state() == QuarantineState::kSuspect);
 }
 
 Test(crash_watch, leafs_that_end_one_after_the_other_quarantine) {
@@ -77,11 +77,11 @@
   CrashWatch second = attempts.begin();
   second.on_send();
   second.on_end(End::kAnswered, "c");
-  cr_assert(second.standing() == QuarantineState::kClear);
+  cr_assert(second.state() == QuarantineState::kClear);
   cr_assert(second.may_send());
   second.on_send();
   second.on_end(End::kLeafEnded, "d");
-  cr_assert(second.standing() == QuarantineState::kClear);
+  cr_assert(second.state() == QuarantineState::kClear);
 }
 
 Test(crash_watch, a_rejected_call_changes_nothing) {
@@ -91,7 +91,7 @@
   watch.on_end(End::kLeafEnded, "a");
   watch.on_send();
   watch.on_end(End::kOther, "b");
-  cr_assert(watch.standing() == QuarantineState::kSuspect);
+  cr_assert(watch.state() == QuarantineState::kSuspect);
 }
 
 // Guards against concurrent copies of one request that each end leafs without
--- a/tests/quarantine/quarantine_record_test.cc
+++ b/tests/quarantine/quarantine_record_test.cc
@@ -19,15 +19,15 @@
 }
 
 Test(quarantine_record, the_third_leaf_quarantines) {
-  cr_assert(record_of({}).standing(kNow) == QuarantineState::kClear);
-  cr_assert(record_of({"a", "b"}).standing(kNow) == QuarantineState::kSuspect);
-  cr_assert(record_of({"a", "b", "c"}).standing(kNow) ==
+  cr_assert(record_of({}).state(kNow) == QuarantineState::kClear);
+  cr_assert(record_of({"a", "b"}).state(kNow) == QuarantineState::kSuspect);
+  cr_assert(record_of({"a", "b", "c"}).state(kNow) ==
             QuarantineState::kQuarantined);
 }
 
 // Guards against counting a leaf once for each daemon that reports it.
 Test(quarantine_record, one_run_of_a_leaf_counts_once) {
-  cr_assert(record_of({"a", "a", "a"}).standing(kNow) ==
+  cr_assert(record_of({"a", "a", "a"}).state(kNow) ==
             QuarantineState::kSuspect);
 }
 
@@ -35,9 +35,9 @@
      a_released_request_that_ends_a_leaf_is_quarantined_again) {
   QuarantineRecord record = record_of({"a", "b", "c"});
   const UnixTime later = kNow + hours(2);
-  cr_assert(record.standing(later) == QuarantineState::kSuspect);
+  cr_assert(record.state(later) == QuarantineState::kSuspect);
   record.add("d", later);
-  cr_assert(record.standing(later + hours(24 * 300)) ==
+  cr_assert(record.state(later + hours(24 * 300)) ==
             QuarantineState::kQuarantined);
 }
 
@@ -49,7 +49,7 @@
   one.merge(other, kNow);
   other.merge(before, kNow);
   cr_assert(one == other);
-  cr_assert(one.standing(kNow) == QuarantineState::kQuarantined);
+  cr_assert(one.state(kNow) == QuarantineState::kQuarantined);
 }
 
 Test(quarantine_record, an_encoded_record_round_trips) {
--- a/tests/quarantine/quarantine_table_test.cc
+++ b/tests/quarantine/quarantine_table_test.cc
@@ -25,13 +25,12 @@
     table.on_crash(digest_of(i), "a", kNow);
   }
   cr_assert(table.size() <= QuarantineTable::kMaxRequests);
-  cr_assert(table.standing(digest_of(0), kNow) ==
-            QuarantineState::kQuarantined);
+  cr_assert(table.state(digest_of(0), kNow) == QuarantineState::kQuarantined);
   for (int i = 5000; i < 7000; ++i) {
     quarantine(table, digest_of(i));
   }
   cr_assert(table.size() <= QuarantineTable::kMaxRequests);
-  cr_assert(table.standing(digest_of(6999), kNow) ==
+  cr_assert(table.state(digest_of(6999), kNow) ==
             QuarantineState::kQuarantined);
 }
 
@@ -76,7 +75,7 @@
   theirs.add("b", kNow);
   table.apply_object(digest_of(1), theirs, 7, kNow);
   cr_assert(table.on_answer(digest_of(1)));
-  cr_assert(table.standing(digest_of(1), kNow) == QuarantineState::kClear);
+  cr_assert(table.state(digest_of(1), kNow) == QuarantineState::kClear);
   const auto changes = table.changes();
   cr_assert(changes.size() == 1 && !changes[0].record);
   table.mark_written(changes[0], 0);
@@ -107,7 +106,7 @@
   table.on_answer(digest_of(1));
   theirs.add("c", kNow);
   table.apply_object(digest_of(1), theirs, 9, kNow);
-  cr_assert(table.standing(digest_of(1), kNow) == QuarantineState::kSuspect);
+  cr_assert(table.state(digest_of(1), kNow) == QuarantineState::kSuspect);
   cr_assert(table.changes().empty());
 }
 
@@ -116,7 +115,7 @@
   quarantine(table, digest_of(1));
   table.mark_written(table.changes()[0], 7);
   table.apply_removal(digest_of(1));
-  cr_assert(table.standing(digest_of(1), kNow) == QuarantineState::kClear);
+  cr_assert(table.state(digest_of(1), kNow) == QuarantineState::kClear);
 }
 
 // Guards against a removal that discards evidence found in the meantime.
@@ -136,8 +135,7 @@
   quarantine(table, digest_of(1));
   table.mark_written(table.changes()[0], 7);
   table.apply_loss(digest_of(1));
-  cr_assert(table.standing(digest_of(1), kNow) ==
-            QuarantineState::kQuarantined);
+  cr_assert(table.state(digest_of(1), kNow) == QuarantineState::kQuarantined);
   const auto changes = table.changes();
   cr_assert(changes.size() == 1 && changes[0].stored_version == 0);
   cr_assert(changes[0].is_known_to_all);
--- a/tests/quarantine/quarantine_writer_test.cc
+++ b/tests/quarantine/quarantine_writer_test.cc
@@ -75,8 +75,7 @@
   daemons.crash(0, "b");
   daemons.crash(1, "c");
   cr_assert(daemons.run_until([&] {
-    return daemons.stored().standing(daemons.now) ==
-           QuarantineState::kQuarantined;
+    return daemons.stored().state(daemons.now) == QuarantineState::kQuarantined;
   }));
 }
 
