--- a/ibismux/gather/gather_client.h
+++ b/ibismux/gather/gather_client.h
@@ -11,7 +11,7 @@
 #include "ibismux/base/ids.h"
 #include "ibismux/dispatch/query_delegate.h"
 #include "ibismux/eventlog/forward.h"
-#include "ibismux/gather/gatherer_choice.h"
+#include "ibismux/gather/gatherer_selector.h"
 #include "ibismux/gather/messages.h"
 #include "ibismux/http/socket.h"
 #include "ibismux/peer/peer_network.h"
--- a/ibismux/gather/gatherer_choice.cc
+++ b/ibismux/gather/gatherer_selector.cc
@@ -1,4 +1,4 @@
-#include "ibismux/gather/gatherer_choice.h"
+#include "ibismux/gather/gatherer_selector.h"
 
 #include <algorithm>
 #include <utility>
--- a/ibismux/gather/gatherer_choice.h
+++ b/ibismux/gather/gatherer_selector.h
@@ -1,5 +1,5 @@
-#ifndef IBISMUX_GATHER_GATHERER_CHOICE_H_
-#define IBISMUX_GATHER_GATHERER_CHOICE_H_
+#ifndef IBISMUX_GATHER_GATHERER_SELECTOR_H_
+#define IBISMUX_GATHER_GATHERER_SELECTOR_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -78,4 +78,4 @@
 
 }  // namespace ibismux::gather
 
-#endif  // IBISMUX_GATHER_GATHERER_CHOICE_H_
+#endif  // IBISMUX_GATHER_GATHERER_SELECTOR_H_
--- a/tests/gather/gatherer_choice_test.cc
+++ b/tests/gather/gatherer_selector_test.cc
@@ -1,4 +1,4 @@
-#include "ibismux/gather/gatherer_choice.h"
+#include "ibismux/gather/gatherer_selector.h"
 
 #include <criterion/criterion.h>
 
