--- a/ibismux/dispatch/answer.h
+++ b/ibismux/dispatch/answer.h
@@ -11,26 +11,28 @@
 
 namespace ibismux::dispatch {
 
-/// A leaf's own answer, success or failure, to be passed back unchanged.
+/// The answer of one leaf, success or failure, returned to the caller
+/// unchanged.
 struct LeafAnswer {
   int status = 0;
-  /// As the leaf sent them, those of its connection included.
+  /// The header fields as received from the leaf, including those that concern
+  /// only its connection.
   std::vector<std::pair<std::string, std::string>> fields;
   std::string body;
-  std::string receipt;  ///< The leaf's proof that it made this answer.
+  std::string receipt;  ///< The leaf's proof that it produced this answer.
 };
 
 /// The answer to a query over shards.
 struct MergedAnswer {
-  std::vector<std::string> receipts;  ///< Of the shards that are in.
+  std::vector<std::string> receipts;  ///< Of the shards in the answer.
   std::size_t missing_shards = 0;
-  std::string records;  ///< The greatest ones, greatest first.
+  std::string records;  ///< The largest records, in descending order.
 };
 
 using Answer = std::variant<LeafAnswer, MergedAnswer>;
 
-/// What becomes of a request. An error's `execution` is kNotRun only where no
-/// leaf has run it or will.
+/// The outcome of a request. An error has `execution` kNotRun only if no leaf
+/// has run the request and none will.
 using Outcome = Result<Answer>;
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/answer_timing.cc
+++ b/ibismux/dispatch/answer_timing.cc
@@ -7,16 +7,17 @@
 
 namespace {
 
-// As a part of the objective: the rest is for the request's way here, the
-// answer's way back, 1 to 3 ms each, and what this daemon itself takes.
-constexpr double kDue = 0.78;
-// What a new connection takes at a distant caller: one way more in each
-// direction.
-constexpr std::chrono::milliseconds kHandshake{6};
-// Of the time that sending the calls took.
-constexpr double kAnswering = 0.2;
-// However short the objective, this part of it is for the shards.
-constexpr double kLeastForShards = 0.5;
+// Fraction of the objective after which the answer is due. The rest covers the
+// network, 1 to 3 ms in each direction, and the processing time of this daemon.
+constexpr double kDueFraction = 0.78;
+// Time to set up a connection from a distant caller: one additional round trip.
+constexpr std::chrono::milliseconds kConnectionSetup{6};
+// Time to assemble the answer, as a fraction of the time spent sending the
+// calls.
+constexpr double kAssemblyFraction = 0.2;
+// Fraction of the objective that is always left to the shards, however short
+// the objective is.
+constexpr double kMinShardFraction = 0.5;
 
 }  // namespace
 
@@ -24,13 +25,13 @@
                      Duration objective,
                      bool opens_connection) noexcept {
   const Duration due =
-      scaled(objective, kDue) -
-      (opens_connection ? Duration(kHandshake) : Duration::zero());
-  return received + std::max(due, scaled(objective, kLeastForShards));
+      scaled(objective, kDueFraction) -
+      (opens_connection ? Duration(kConnectionSetup) : Duration::zero());
+  return received + std::max(due, scaled(objective, kMinShardFraction));
 }
 
-Duration time_to_answer(Duration sending) noexcept {
-  return scaled(sending, kAnswering);
+Duration time_to_answer(Duration send_time) noexcept {
+  return scaled(send_time, kAssemblyFraction);
 }
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/answer_timing.h
+++ b/ibismux/dispatch/answer_timing.h
@@ -5,23 +5,23 @@
 
 namespace ibismux::dispatch {
 
-/// When an answer should go out, even without its last shards, to reach its
-/// caller within the objective, which counts from the caller's first step.
+/// Returns when an answer should be sent, even if shards are still missing, so
+/// that it reaches the caller within the objective. The objective counts from
+/// when the caller starts, which includes setting up the connection.
 ///
-/// @param opens_connection The request is the first of its connection: its
-/// caller has waited for that as well.
-/// Thread safe.
+/// @param opens_connection The request is the first one on its connection: its
+/// caller has also waited for the connection to be set up.
 [[nodiscard]] TimePoint answer_due(TimePoint received,
                                    Duration objective,
                                    bool opens_connection) noexcept;
 
-/// What this daemon will take to make the answer once it is due, by what it
-/// took to send out the calls of the same query: both grow with the number of
-/// shards, and with how slow and busy the host is now.
+/// Estimates how long this daemon takes to assemble the answer once it is due,
+/// from how long it took to send the calls of the same query. Both grow with
+/// the number of shards and with the current load of the host.
 ///
-/// @param sending From the query's arrival until its last call was begun.
-/// Thread safe.
-[[nodiscard]] Duration time_to_answer(Duration sending) noexcept;
+/// @param send_time From the arrival of the query until its last call was
+/// started.
+[[nodiscard]] Duration time_to_answer(Duration send_time) noexcept;
 
 }  // namespace ibismux::dispatch
 
--- a/ibismux/dispatch/caller_request.h
+++ b/ibismux/dispatch/caller_request.h
@@ -9,14 +9,15 @@
 
 namespace ibismux::dispatch {
 
-/// One request of a caller, to be passed on whole.
+/// One request of a caller, forwarded unmodified.
 struct CallerRequest {
-  std::string id;  ///< Of this attempt of the caller; a repeat has another one.
+  std::string id;  ///< Of this attempt; a retry by the caller has another id.
   std::string host;
-  std::string path;  ///< Without the query part.
-  /// Method, target, body, and the header fields that leafs get to see.
+  std::string path;  ///< Without the query string.
+  /// The method, target, body, and those header fields that are forwarded to
+  /// leafs.
   std::shared_ptr<const http::Request> message;
-  /// The first of its connection.
+  /// The request is the first one on its connection.
   bool opens_connection = false;
   TimePoint received;
   TimePoint deadline;  ///< When the caller stops waiting.
--- a/ibismux/dispatch/hedge_timing.cc
+++ b/ibismux/dispatch/hedge_timing.cc
@@ -7,24 +7,27 @@
 
 namespace {
 
-// A call is sent again after this many times the usual: one in some tens takes
-// that long by itself, so that hedges stay well within the budget of repeats.
-constexpr double kHedgeAfter = 2.5;
-constexpr std::chrono::milliseconds kLeastHedge{4};
-// And no later than leaves the second answer this many times the usual before
-// the answer is due; most come within that.
-constexpr double kTimeForSecond = 1.7;
-// Where even that is sooner than this many times the usual, half of all calls
-// would be sent twice, and load is what makes them slow.
-constexpr double kSoonestHedge = 1.5;
+// A call is hedged after this multiple of the median latency. A few calls in a
+// hundred take that long without any fault, so hedges stay well within the
+// repeat budget.
+constexpr double kHedgeDelayFactor = 2.5;
+constexpr std::chrono::milliseconds kMinHedgeDelay{4};
+// The hedge must leave the second answer this multiple of the median latency
+// before the answer is due; most answers arrive within that.
+constexpr double kSecondAnswerFactor = 1.7;
+// Lower bound as a multiple of the median latency, which overrides the bound
+// above. With an earlier hedge, half of all calls would be sent twice, and the
+// added load would slow down all of them.
+constexpr double kMinHedgeFactor = 1.5;
 
 }  // namespace
 
 Duration hedge_delay(Duration usual, Duration until_due) noexcept {
-  const Duration latest = std::max(scaled(usual, kSoonestHedge),
-                                   until_due - scaled(usual, kTimeForSecond));
-  return std::max<Duration>(kLeastHedge,
-                            std::min(scaled(usual, kHedgeAfter), latest));
+  const Duration latest =
+      std::max(scaled(usual, kMinHedgeFactor),
+               until_due - scaled(usual, kSecondAnswerFactor));
+  return std::max<Duration>(kMinHedgeDelay,
+                            std::min(scaled(usual, kHedgeDelayFactor), latest));
 }
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/hedge_timing.h
+++ b/ibismux/dispatch/hedge_timing.h
@@ -5,15 +5,15 @@
 
 namespace ibismux::dispatch {
 
-/// How long to wait for a call before it is sent to a second leaf as well.
+/// Returns how long to wait for a call before it is hedged, that is, also sent
+/// to a second leaf.
 ///
-/// Early enough for the second answer to be in time, and late enough that few
-/// calls would have been answered by then anyway: each of those is load for
-/// nothing.
+/// The delay is short enough for the second answer to arrive in time, and long
+/// enough that few calls would have been answered by then anyway: hedging those
+/// only adds load.
 ///
-/// @param usual What such a call takes at the median leaf.
-/// @param until_due From the request's arrival to when its answer is due.
-/// Thread safe.
+/// @param usual The median latency of such a call.
+/// @param until_due From the arrival of the request until its answer is due.
 [[nodiscard]] Duration hedge_delay(Duration usual, Duration until_due) noexcept;
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/repeat_burst.cc
+++ b/ibismux/dispatch/repeat_burst.cc
@@ -8,25 +8,26 @@
 
 namespace {
 
-// Enough for a pause of one leaf, in which each of its calls is sent again.
-constexpr double kMostBurst = 6;
-// Of the whole, for all daemons that gather together.
-constexpr double kGatherersPart = 0.5;
+// Covers a pause of one leaf, during which each of its calls is repeated.
+constexpr double kMaxBurst = 6;
+// The fraction of the total that the gathering daemons share.
+constexpr double kGatherersFraction = 0.5;
 
 }  // namespace
 
 double repeat_burst(double slack, const LinkSharers& sharers) {
   const double hosts =
       static_cast<double>(std::max<std::size_t>(1, sharers.hosts));
-  const double even = slack / hosts;
+  const double even_share = slack / hosts;
   if (!sharers.has_roles()) {
-    return std::min(kMostBurst, even);
+    return std::min(kMaxBurst, even_share);
   }
   const double gatherers = static_cast<double>(sharers.gatherers);
-  const double gathering =
-      std::min(kMostBurst, std::max(even, slack * kGatherersPart / gatherers));
-  const double rest = (slack - gathering * gatherers) / (hosts - gatherers);
-  return sharers.gathers ? gathering : std::min(kMostBurst, rest);
+  const double gatherer_burst = std::min(
+      kMaxBurst, std::max(even_share, slack * kGatherersFraction / gatherers));
+  const double other_burst =
+      (slack - gatherer_burst * gatherers) / (hosts - gatherers);
+  return sharers.gathers ? gatherer_burst : std::min(kMaxBurst, other_burst);
 }
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/repeat_burst.h
+++ b/ibismux/dispatch/repeat_burst.h
@@ -5,14 +5,15 @@
 
 namespace ibismux::dispatch {
 
-/// How many repeats this daemon may save up for one service, out of those that
-/// the service bears from all daemons beyond the share of its requests.
+/// Returns how many repeats this daemon may accumulate for one service. All
+/// daemons share the repeats that the service can bear beyond the fraction of
+/// its requests that is always allowed.
 ///
-/// Daemons that gather queries for others make most calls to shards, and get up
-/// to half of the whole; the parts of all daemons add up to no more than it.
-/// Thread safe.
+/// Daemons that gather queries for others make most of the calls to shards, so
+/// together they get up to half of the total. The shares of all daemons add up
+/// to no more than the total. Thread safe.
 ///
-/// @param slack Repeats that the service bears, see `DispatchSettings`.
+/// @param slack Repeats that the service can bear, see `DispatchSettings`.
 [[nodiscard]] double repeat_burst(double slack, const LinkSharers& sharers);
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/repeat_cause.h
+++ b/ibismux/dispatch/repeat_cause.h
@@ -7,12 +7,12 @@
 
 namespace ibismux::dispatch {
 
-/// Why a request is sent to a second leaf.
+/// Why a request is sent to another leaf.
 enum class RepeatCause : unsigned char {
-  kSlow,          ///< Its own answer takes longer than usual.
-  kUnresponsive,  ///< Another call found the leaf unresponsive.
+  kSlow,          ///< The answer takes longer than usual.
+  kUnresponsive,  ///< Another call has found the leaf unresponsive.
   kFailed,        ///< The leaf failed, or its answer was lost.
-  kNotRun,        ///< The leaf says that it hasn't run it.
+  kNotRun,  ///< No byte was sent, or the leaf reports that it has not run it.
 };
 
 inline constexpr std::size_t kRepeatCauses = 4;
--- a/ibismux/dispatch/retry_after.h
+++ b/ibismux/dispatch/retry_after.h
@@ -8,16 +8,16 @@
 
 namespace ibismux::dispatch {
 
-/// When a caller that is refused should come back, by how long what it was
-/// refused for is expected to last. Pauses and bursts of single leafs are over
-/// after a tenth of a second, and who is told to stay away for more than one
+/// Returns when a refused caller should retry, given how long the reason for
+/// the refusal is expected to last. Pauses and bursts of single leafs end
+/// within a tenth of a second. A caller that waits for more than a second
 /// misses the end of a longer burst. Thread safe.
 [[nodiscard]] constexpr std::chrono::milliseconds retry_after(
     Duration expected) noexcept {
-  constexpr std::chrono::milliseconds kLeast{100};
-  constexpr std::chrono::milliseconds kLongest{1000};
+  constexpr std::chrono::milliseconds kMinRetryAfter{100};
+  constexpr std::chrono::milliseconds kMaxRetryAfter{1000};
   return std::chrono::ceil<std::chrono::milliseconds>(
-      std::clamp<Duration>(expected, kLeast, kLongest));
+      std::clamp<Duration>(expected, kMinRetryAfter, kMaxRetryAfter));
 }
 
 }  // namespace ibismux::dispatch
