--- a/ibismux/dispatch/part_call.cc
+++ b/ibismux/dispatch/part_call.cc
@@ -14,13 +14,13 @@
 
 namespace {
 
-// What dialling a leaf may take before its wait counts as the leaf's: twice
-// what leafs take for a new connection.
+// How long dialing may take before the wait is attributed to the leaf: twice
+// the usual time to open a connection to a leaf.
 constexpr std::chrono::milliseconds kDialAllowance{12};
 
-// Refusals by leafs cost an arrival each; a request that four leafs have
-// turned away is told to come back.
-constexpr std::uint32_t kMostRefusals = 4;
+// Each refusal by a leaf costs that leaf an arrival, so a request that four
+// leafs have refused is returned to the caller to be retried later.
+constexpr std::uint32_t kMaxRefusals = 4;
 
 }  // namespace
 
@@ -32,7 +32,7 @@
       on_change(std::move(on_change)) {}
 
 void PartCall::start() {
-  this->current = State::kOpen;
+  this->current_state = State::kOpen;
   this->group->count_first();
   this->starting = true;
   if (!this->begin()) {
@@ -42,7 +42,7 @@
 }
 
 bool PartCall::begin() {
-  return this->send_first() || this->current != State::kOpen;
+  return this->send_first() || this->current_state != State::kOpen;
 }
 
 void PartCall::wait_for_room(std::function<bool()> start) {
@@ -73,7 +73,7 @@
 SelectionCriteria PartCall::criteria(bool is_repeat) const {
   return {.usual = this->context->typical->value(),
           .objective = this->context->route->objective,
-          .tried = &this->leafs,
+          .tried = &this->tried_leafs,
           .zones = this->context->zones(),
           .is_repeat = is_repeat};
 }
@@ -83,11 +83,11 @@
 }
 
 void PartCall::resume() {
-  if (!this->held || this->current != State::kOpen || this->abandoned ||
-      !this->context->crashes->may_send()) {
+  if (!this->deferred_start || this->current_state != State::kOpen ||
+      this->abandoned || !this->context->crashes->may_send()) {
     return;
   }
-  const auto start = std::exchange(this->held, nullptr);
+  const auto start = std::exchange(this->deferred_start, nullptr);
   if (!start()) {
     this->wait_for_room(start);
   }
@@ -95,7 +95,7 @@
 
 bool PartCall::send_first() {
   if (!this->context->crashes->may_send()) {
-    this->hold([this] { return this->begin(); });
+    this->defer([this] { return this->begin(); });
     return true;
   }
   if (!this->group->can_serve(this->context->zones())) {
@@ -113,14 +113,14 @@
 }
 
 bool PartCall::may_repeat() const noexcept {
-  return this->current == State::kOpen && !this->abandoned &&
+  return this->current_state == State::kOpen && !this->abandoned &&
          this->sends - this->sends_not_run < this->context->most_attempts() &&
-         this->sends_not_run < kMostRefusals;
+         this->sends_not_run < kMaxRefusals;
 }
 
 void PartCall::repeat(RepeatCause cause) {
   if (!this->context->route->is_idempotent() || !this->may_repeat() ||
-      this->active.size() != 1 || this->sends == 0 ||
+      this->open_attempts.size() != 1 || this->sends == 0 ||
       !this->context->crashes->may_send()) {
     return;
   }
@@ -133,16 +133,17 @@
     return;
   }
   this->context->metrics->repeated(cause);
-  this->note("request_hedged", *leaf, to_string(cause));
+  this->log_event("request_hedged", *leaf, to_string(cause));
   this->send_to(leaf, cause);
 }
 
-std::optional<TimePoint> PartCall::waits_since() const {
-  if (this->current != State::kOpen || this->hedged || this->active.empty()) {
+std::optional<TimePoint> PartCall::waiting_since() const {
+  if (this->current_state != State::kOpen || this->hedged ||
+      this->open_attempts.empty()) {
     return std::nullopt;
   }
-  const Attempt& last = this->active.back();
-  return last.active->sent_at.value_or(last.began + kDialAllowance);
+  const Attempt& last = this->open_attempts.back();
+  return last.active->sent_at.value_or(last.started_at + kDialAllowance);
 }
 
 void PartCall::hedge() {
@@ -158,10 +159,10 @@
       cause, this->group->zone_exit(*leaf, this->criteria(cause.has_value()),
                                     Clock::now()));
   this->context->crashes->on_send();
-  this->leafs.push_back(leaf);
+  this->tried_leafs.push_back(leaf);
   ++this->sends;
   auto active = std::make_shared<ActiveCall>();
-  this->active.push_back({leaf, active, Clock::now()});
+  this->open_attempts.push_back({leaf, active, Clock::now()});
   auto call = std::make_shared<LeafCall>();
   call->message = this->context->request.message;
   call->request_id = this->context->request.id;
@@ -186,10 +187,10 @@
 
 void PartCall::on_end(const std::shared_ptr<ActiveCall>& active, CallEnd end) {
   const auto ended = std::find_if(
-      this->active.begin(), this->active.end(),
+      this->open_attempts.begin(), this->open_attempts.end(),
       [&](const Attempt& attempt) { return attempt.active == active; });
   const TimePoint now = Clock::now();
-  const Duration took = now - ended->began;
+  const Duration took = now - ended->started_at;
   const Error* error = end.reply ? nullptr : &end.reply.error();
   this->context->metrics->call_ended(error, took);
   if (end.reply && end.reply->has_unreadable_load) {
@@ -200,15 +201,15 @@
     this->group->note_call(took);
   }
   const std::shared_ptr<Leaf> leaf = ended->leaf;
-  this->active.erase(ended);
-  this->judge_request(end, *leaf);
-  if (this->current == State::kOpen) {
-    this->take_end(std::move(end));
+  this->open_attempts.erase(ended);
+  this->update_crash_watch(end, *leaf);
+  if (this->current_state == State::kOpen) {
+    this->handle_end(std::move(end));
   }
   this->context->crashes->release_waiting();
 }
 
-void PartCall::judge_request(const CallEnd& end, const Leaf& leaf) {
+void PartCall::update_crash_watch(const CallEnd& end, const Leaf& leaf) {
   using End = quarantine::CrashWatch::CallEnd;
   const bool was_run =
       end.reply && (end.reply->kind == LeafReply::Kind::kSuccess ||
@@ -220,12 +221,12 @@
     this->context->metrics->leaf_ended();
   }
   if (this->context->crashes->on_end(what, to_string(leaf.entry().run))) {
-    this->note(was_run ? "request_cleared" : "leaf_ended_under_request", leaf,
-               to_string(this->context->crashes->standing()));
+    this->log_event(was_run ? "request_cleared" : "leaf_ended_under_request",
+                    leaf, to_string(this->context->crashes->standing()));
   }
 }
 
-void PartCall::take_end(CallEnd end) {
+void PartCall::handle_end(CallEnd end) {
   if (end.reply) {
     this->on_reply(*std::move(end.reply));
   } else {
@@ -236,13 +237,13 @@
 void PartCall::on_reply(LeafReply reply) {
   switch (reply.kind) {
     case LeafReply::Kind::kSuccess:
-      this->good = std::move(reply.answer);
+      this->success = std::move(reply.answer);
       this->finish(State::kAnswered);
       return;
     case LeafReply::Kind::kFailure:
-      this->note("leaf_failed", *this->leafs.back(),
-                 std::to_string(reply.answer.status));
-      this->bad = std::move(reply.answer);
+      this->log_event("leaf_failed", *this->tried_leafs.back(),
+                      std::to_string(reply.answer.status));
+      this->failure_answer = std::move(reply.answer);
       this->retry(RepeatCause::kFailed,
                   make_error(ErrorKind::kLeafUnavailable, "the leaf failed"),
                   true);
@@ -258,7 +259,7 @@
 }
 
 void PartCall::on_error(Error error, bool sent) {
-  this->note("leaf_call_lost", *this->leafs.back(), error.message);
+  this->log_event("leaf_call_lost", *this->tried_leafs.back(), error.message);
   if (!sent) {
     ++this->sends_not_run;
   }
@@ -272,8 +273,9 @@
 
 void PartCall::retry(RepeatCause cause, Error error, bool sent) {
   this->last_error = std::move(error);
-  // Under load each leaf has as many calls as it may have. A part that gave up
-  // then would be missing from its answer though a leaf is free in a moment.
+  // Under load every leaf may be at its limit of concurrent calls. If the part
+  // failed at once, it would be missing from the answer although a leaf becomes
+  // free shortly afterwards.
   if (!this->send_again_or_fail(cause, sent) && !this->place) {
     this->wait_for_room(
         [this, cause, sent] { return this->send_again_or_fail(cause, sent); });
@@ -281,39 +283,40 @@
 }
 
 bool PartCall::send_again_or_fail(RepeatCause cause, bool sent) {
-  const Again again = this->send_again(cause, sent);
-  if (again == Again::kNever && this->active.empty()) {
+  const ResendResult result = this->send_again(cause, sent);
+  if (result == ResendResult::kRejected && this->open_attempts.empty()) {
     this->finish(State::kFailed);
   }
-  return again != Again::kNoRoom;
+  return result != ResendResult::kNoRoom;
 }
 
-PartCall::Again PartCall::send_again(RepeatCause cause, bool sent) {
+PartCall::ResendResult PartCall::send_again(RepeatCause cause, bool sent) {
   const bool safe =
       this->context->route->is_idempotent() || cause == RepeatCause::kNotRun;
   if (!safe || !this->may_repeat() || Clock::now() >= this->context->final_at) {
-    return Again::kNever;
+    return ResendResult::kRejected;
   }
   if (!this->context->crashes->may_send()) {
-    this->hold(
+    this->defer(
         [this, cause, sent] { return this->send_again_or_fail(cause, sent); });
-    return Again::kHeld;
+    return ResendResult::kDeferred;
   }
   const auto leaf = this->choose(false);
   if (!leaf) {
-    return this->group->can_serve(this->context->zones(), this->leafs)
-               ? Again::kNoRoom
-               : Again::kNever;
+    return this->group->can_serve(this->context->zones(), this->tried_leafs)
+               ? ResendResult::kNoRoom
+               : ResendResult::kRejected;
   }
-  // What no byte was sent of arrived nowhere, and costs no budget.
+  // A call of which no byte was sent has added no load to a leaf, so its repeat
+  // does not use the budget.
   if (sent && !this->group->take_repeat()) {
     this->context->metrics->repeat_refused(cause);
-    return Again::kNever;
+    return ResendResult::kRejected;
   }
   this->context->metrics->repeated(cause);
-  this->note("request_retried", *leaf, to_string(cause));
+  this->log_event("request_retried", *leaf, to_string(cause));
   this->send_to(leaf, cause);
-  return Again::kSent;
+  return ResendResult::kSent;
 }
 
 void PartCall::abandon() {
@@ -323,23 +326,23 @@
 
 void PartCall::give_up() {
   this->abandoned = true;
-  const auto late = this->active;
-  for (const Attempt& attempt : late) {
+  const auto attempts = this->open_attempts;
+  for (const Attempt& attempt : attempts) {
     attempt.active->give_up();
   }
 }
 
 void PartCall::finish(State state) {
-  this->current = state;
+  this->current_state = state;
   this->leave_queue();
   if (!this->starting) {
     this->on_change();
   }
 }
 
-void PartCall::note(std::string_view event,
-                    const Leaf& leaf,
-                    std::string_view detail) {
+void PartCall::log_event(std::string_view event,
+                         const Leaf& leaf,
+                         std::string_view detail) {
   eventlog::Event line =
       this->context->log->event(eventlog::Weight::kFailure, event);
   if (!line.enabled()) {
--- a/ibismux/dispatch/part_call.h
+++ b/ibismux/dispatch/part_call.h
@@ -17,21 +17,23 @@
 
 namespace ibismux::dispatch {
 
-/// One request's part at one service: sends it to a leaf, and to another one
-/// where that helps and is allowed, until one good answer is there.
+/// The part of a request that one service answers: sends it to a leaf, and to
+/// further leafs where that helps and is allowed, until one of them has
+/// answered successfully.
 ///
-/// What may be sent again: an idempotent request, up to the route's attempts,
-/// after a failure or when the answer takes too long; any other one only where
-/// no byte was sent, or where the leaf itself says that it hasn't run it. Each
-/// send beyond the first draws on the service's budget of repeats.
+/// An idempotent request may be sent again, up to the route's maximum number of
+/// attempts, after a failure or when the answer takes too long. Any other
+/// request may be sent again only if no byte of it was sent, or if the leaf
+/// reports that it has not run it. Each send after the first one uses the
+/// repeat budget of the service.
 ///
 /// Belongs to one event loop; not thread safe.
 class PartCall : public std::enable_shared_from_this<PartCall> {
  public:
   enum class State : unsigned char {
     kIdle,
-    kOpen,      ///< A call is under way, or waits for a link.
-    kAnswered,  ///< `answer()` is there.
+    kOpen,      ///< A call is in flight or waits in the queue.
+    kAnswered,  ///< `answer()` is available.
     kFailed,    ///< No answer will come.
   };
 
@@ -40,58 +42,61 @@
            std::shared_ptr<ServiceGroup> group,
            std::function<void()> on_change);
 
-  /// Begins. Called once. The state may change before it returns, but
-  /// `on_change` is only called later.
+  /// Starts the part. Must be called only once. The state may change before
+  /// this returns, but `on_change` is only called later.
   void start();
 
   /// Sends the request to one more leaf if that is allowed and some leaf is
   /// likely to answer sooner.
   void repeat(RepeatCause cause);
 
-  /// Since when a leaf alone is to blame for the wait: the call left on an open
-  /// link then, or dialling one should have been done. Nothing where the part
-  /// has ended, waits for room, or was hedged.
-  [[nodiscard]] std::optional<TimePoint> waits_since() const;
+  /// Returns since when the part has been waiting for a leaf and nothing else:
+  /// the time when the call was sent on an open connection, or when dialing
+  /// should have been done. Empty if the part has ended, waits in the queue, or
+  /// was hedged.
+  [[nodiscard]] std::optional<TimePoint> waiting_since() const;
 
-  /// The part has waited longer than usual: repeats it, where the policy says
-  /// so. From here on `waits_since()` is empty.
+  /// Marks the part as hedged and repeats it if the policy enables hedging. To
+  /// be called when the part has waited longer than usual. From then on
+  /// `waiting_since()` is empty.
   void hedge();
 
-  /// Begins what waited for another call of the request to end, if it may.
+  /// Starts the send that was deferred until another call of the request has
+  /// ended, if it is allowed now.
   void resume();
 
-  /// The answer isn't wanted any more: nothing is sent from here on. Calls
-  /// under way may still end by themselves: a link is worth keeping, and a late
-  /// answer says how the leaf fares.
+  /// The answer is no longer needed: nothing more is sent. Calls in flight may
+  /// still complete, which keeps their connections usable and provides a
+  /// latency sample of the leaf.
   void abandon();
 
-  /// Ends the calls under way too.
+  /// Cancels the calls in flight as well.
   void give_up();
 
   [[nodiscard]] bool has_calls() const noexcept {
-    return !this->active.empty();
+    return !this->open_attempts.empty();
   }
 
-  [[nodiscard]] State state() const noexcept { return this->current; }
+  [[nodiscard]] State state() const noexcept { return this->current_state; }
   /// Precondition: kAnswered.
-  [[nodiscard]] LeafAnswer& answer() noexcept { return *this->good; }
-  /// What the leaf itself answered to a part that failed, if it did.
+  [[nodiscard]] LeafAnswer& answer() noexcept { return *this->success; }
+  /// The error response of the leaf if the part failed with one.
   [[nodiscard]] std::optional<LeafAnswer>& failure() noexcept {
-    return this->bad;
+    return this->failure_answer;
   }
   /// Why the part failed. Precondition: kFailed.
   [[nodiscard]] const Error& error() const noexcept { return this->last_error; }
-  /// No leaf has run it, and none will.
+  /// No leaf has run the request, and none will.
   [[nodiscard]] bool certainly_not_run() const noexcept {
     return this->sends == this->sends_not_run;
   }
   [[nodiscard]] const ServiceGroup& service() const noexcept {
     return *this->group;
   }
-  /// Leafs that were asked, in order, for the log.
+  /// Leafs that the request was sent to, in order.
   [[nodiscard]] const std::vector<std::shared_ptr<Leaf>>& tried()
       const noexcept {
-    return this->leafs;
+    return this->tried_leafs;
   }
   [[nodiscard]] std::size_t times_sent() const noexcept { return this->sends; }
 
@@ -99,13 +104,14 @@
   struct Attempt {
     std::shared_ptr<Leaf> leaf;
     std::shared_ptr<ActiveCall> active;
-    TimePoint began;
+    TimePoint started_at;
   };
 
   [[nodiscard]] bool may_repeat() const noexcept;
   [[nodiscard]] SelectionCriteria criteria(bool is_repeat) const;
-  /// The best leaf that was not asked yet, or null.
-  /// @param is_repeat The first call goes on: only for a leaf that answers.
+  /// Returns the best leaf that has not been tried yet, or null.
+  /// @param is_repeat An earlier call is still in flight: only responsive leafs
+  /// are considered.
   [[nodiscard]] std::shared_ptr<Leaf> choose(bool is_repeat) const;
   [[nodiscard]] bool send_first();
   /// @return False where it has to wait for room.
@@ -113,52 +119,55 @@
   /// @param start See `CallQueue`; not called once the part has ended.
   void wait_for_room(std::function<bool()> start);
   void leave_queue();
-  /// Waits for `resume()`. @param start As for `wait_for_room()`.
-  void hold(std::function<bool()> start) {
-    this->held = std::move(start);
+  /// Defers `start` until `resume()`. @param start As for `wait_for_room()`.
+  void defer(std::function<bool()> start) {
+    this->deferred_start = std::move(start);
     this->context->crashes->on_wait();
   }
-  /// @param cause Absent: for the first time.
+  /// @param cause Absent for the first send.
   void send_to(const std::shared_ptr<Leaf>& leaf,
                std::optional<RepeatCause> cause);
   void on_end(const std::shared_ptr<ActiveCall>& active, CallEnd end);
-  /// What the end of a call says of the request.
-  void judge_request(const CallEnd& end, const Leaf& leaf);
-  void take_end(CallEnd end);
+  /// Reports the end of a call to the crash watch of the request.
+  void update_crash_watch(const CallEnd& end, const Leaf& leaf);
+  void handle_end(CallEnd end);
   void on_reply(LeafReply reply);
   void on_error(Error error, bool sent);
   /// @param sent A byte may have reached the leaf.
   void retry(RepeatCause cause, Error error, bool sent);
-  /// What became of a try to send once more.
-  enum class Again : unsigned char {
+  /// The result of an attempt to send the request again.
+  enum class ResendResult : unsigned char {
     kSent,
-    kNoRoom,  ///< Some leaf may take it, but has no room now.
-    kHeld,    ///< It waits for another call of the request to end.
-    kNever,   ///< No leaf will, or it isn't allowed.
+    kNoRoom,    ///< A leaf may take it later, but none has room now.
+    kDeferred,  ///< Waits for another call of the request to end.
+    kRejected,  ///< No leaf can take it, or it is not allowed.
   };
-  [[nodiscard]] Again send_again(RepeatCause cause, bool sent);
+  [[nodiscard]] ResendResult send_again(RepeatCause cause, bool sent);
   /// @return False where it has to wait for room.
   [[nodiscard]] bool send_again_or_fail(RepeatCause cause, bool sent);
   void finish(State state);
-  void note(std::string_view event, const Leaf& leaf, std::string_view detail);
+  void log_event(std::string_view event,
+                 const Leaf& leaf,
+                 std::string_view detail);
 
   const std::shared_ptr<const RequestContext> context;
   const std::shared_ptr<ServiceGroup> group;
   const std::function<void()> on_change;
 
-  std::optional<CallQueue::Place> place;  ///< While it waits for a leaf.
-  std::function<bool()> held;  ///< Set while it waits for `resume()`.
-  State current = State::kIdle;
+  std::optional<CallQueue::Place> place;  ///< Set while it waits in the queue.
+  std::function<bool()> deferred_start;  ///< Set while it waits for `resume()`.
+  State current_state = State::kIdle;
   bool starting = false;
   bool abandoned = false;
   bool hedged = false;
-  std::vector<std::shared_ptr<Leaf>> leafs;
-  std::vector<Attempt> active;
-  /// Sends that a leaf may have run count against the route's attempts.
+  std::vector<std::shared_ptr<Leaf>> tried_leafs;
+  std::vector<Attempt> open_attempts;
+  /// The number of sends. Those that a leaf may have run count against the
+  /// route's maximum number of attempts.
   std::uint32_t sends = 0;
   std::uint32_t sends_not_run = 0;
-  std::optional<LeafAnswer> good;
-  std::optional<LeafAnswer> bad;
+  std::optional<LeafAnswer> success;
+  std::optional<LeafAnswer> failure_answer;
   Error last_error;
 };
 
