--- a/ibismux/dispatch/forward_run.h
+++ b/ibismux/dispatch/forward_run.h
@@ -5,17 +5,18 @@
 
 namespace ibismux::dispatch {
 
-/// A request that one leaf answers, passed on and back whole.
+/// A request that a single leaf answers; request and answer are forwarded
+/// unmodified.
 class ForwardRun : public RequestRun {
  public:
   using RequestRun::RequestRun;
 
  protected:
   [[nodiscard]] Duration excess_wait(TimePoint now) const override;
-  void settle(TimePoint now) override;
+  void check_completion(TimePoint now) override;
 
  private:
-  void settle_failed(PartCall& part, TimePoint now);
+  void finish_failed(PartCall& part, TimePoint now);
 };
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/record_merger.cc
+++ b/ibismux/dispatch/record_merger.cc
@@ -13,7 +13,7 @@
 }
 
 std::string RecordMerger::take() {
-  const std::size_t kept = std::min(this->most, this->records.size());
+  const std::size_t kept = std::min(this->max_records, this->records.size());
   const auto end = this->records.begin() + static_cast<std::ptrdiff_t>(kept);
   // string_view compares bytes as unsigned values.
   std::partial_sort(this->records.begin(), end, this->records.end(),
--- a/ibismux/dispatch/record_merger.h
+++ b/ibismux/dispatch/record_merger.h
@@ -11,27 +11,28 @@
 /// Size of one record in the body of a shard's answer, in bytes.
 inline constexpr std::size_t kRecordBytes = 16;
 
-/// The greatest records of several shards, compared byte by byte.
+/// Selects the largest records of several shards, compared byte by byte.
 ///
-/// Records are opaque: the merger knows their size and order, and nothing of
-/// what they hold. Equal records all count. Bytes at the end of a body that
-/// don't make up a whole record are left out.
+/// Records are opaque: the merger only knows their size and order. Duplicates
+/// are kept. Trailing bytes of a body that do not make up a whole record are
+/// ignored.
 ///
 /// Not thread safe.
 class RecordMerger {
  public:
-  /// @param most How many records are kept.
-  explicit RecordMerger(std::size_t most) : most(most) {}
+  /// @param max_records The number of records to keep.
+  explicit RecordMerger(std::size_t max_records) : max_records(max_records) {}
 
-  /// Takes in the records of one shard, in any order. `body` must live until
+  /// Adds the records of one shard, in any order. `body` must stay valid until
   /// `take()`.
   void add(std::string_view body);
 
-  /// The greatest records, greatest first, one behind the other.
+  /// Returns the largest records, concatenated in descending order, and clears
+  /// the merger.
   [[nodiscard]] std::string take();
 
  private:
-  const std::size_t most;
+  const std::size_t max_records;
   std::vector<std::string_view> records;
 };
 
--- a/ibismux/dispatch/request_context.h
+++ b/ibismux/dispatch/request_context.h
@@ -19,44 +19,50 @@
 
 namespace ibismux::dispatch {
 
-/// What all parts of one request share.
+/// The state that all parts of one request share.
 struct RequestContext {
   CallerRequest request;
   quarantine::RequestDigest digest;  ///< Of `request`.
   std::shared_ptr<quarantine::CrashWatch> crashes;
-  /// Pinned from arrival to answer; owns `route`.
+  /// The route table in force when the request arrived, kept until it is
+  /// answered; owns `route`.
   std::shared_ptr<const routing::RouteTable> table;
   const routing::Route* route = nullptr;
-  /// Zones that the request may be sent to. Absent: all of them.
+  /// Zones that the request may be sent to; all zones if absent.
   std::optional<ZoneNames> allowed_zones;
-  /// Leafs of each shard that a peer may have sent the request to.
+  /// The number of leafs of each shard to which a peer may have sent the
+  /// request.
   std::uint32_t attempts_elsewhere = 0;
-  /// Set where the request is gathered for a peer, which counts it among its
-  /// own.
+  /// Set if the request is gathered for a peer; the peer then counts it in its
+  /// own metrics.
   std::shared_ptr<const Confirmation> confirmation;
-  /// The last moment for an answer: the caller's own, or the route's.
+  /// The deadline for any answer: the earlier one of the caller's deadline and
+  /// the route's time limit.
   TimePoint final_at;
-  /// When the answer should go out to be within the route's objective.
+  /// When the answer should be sent to arrive within the route's objective.
   TimePoint due;
-  std::shared_ptr<TypicalLatency> typical;  ///< Of the route's leaf calls.
+  std::shared_ptr<TypicalLatency>
+      typical;  ///< Latency of the route's leaf calls.
   eventlog::EventLog* log = nullptr;
   DispatchMetrics* metrics = nullptr;
   const DispatchPolicy* policy = nullptr;
 
-  /// The same for a choice of leafs; null: all zones.
+  /// The allowed zones as used to select leafs; null means all zones.
   [[nodiscard]] const ZoneNames* zones() const noexcept {
     return this->allowed_zones ? &*this->allowed_zones : nullptr;
   }
   [[nodiscard]] bool is_for_peer() const noexcept {
     return this->confirmation != nullptr;
   }
-  /// Most leafs that the request, or one shard of it, may be sent to from here.
+  /// The maximum number of leafs to which this daemon may send the request or
+  /// one shard of it.
   [[nodiscard]] std::uint32_t most_attempts() const noexcept {
-    const bool is_shared = this->confirmation && !this->confirmation->given;
-    const std::uint32_t elsewhere =
-        this->attempts_elsewhere + (is_shared ? 1 : 0);
-    const std::uint32_t all = this->route->max_attempts;
-    return all > elsewhere ? all - elsewhere : 0;
+    const bool is_unconfirmed =
+        this->confirmation && !this->confirmation->given;
+    const std::uint32_t by_peer =
+        this->attempts_elsewhere + (is_unconfirmed ? 1 : 0);
+    const std::uint32_t allowed = this->route->max_attempts;
+    return allowed > by_peer ? allowed - by_peer : 0;
   }
 };
 
--- a/ibismux/dispatch/request_end.cc
+++ b/ibismux/dispatch/request_end.cc
@@ -18,9 +18,9 @@
   if (!context.is_for_peer()) {
     context.metrics->request_ended(route.name, error, partial, took);
   }
-  const bool plain = outcome && !partial && took <= route.objective;
+  const bool is_ordinary = outcome && !partial && took <= route.objective;
   eventlog::Event line = context.log->event(
-      plain ? eventlog::Weight::kOrdinary : eventlog::Weight::kFailure,
+      is_ordinary ? eventlog::Weight::kOrdinary : eventlog::Weight::kFailure,
       "request_end");
   if (!line.enabled()) {
     return;
@@ -33,7 +33,7 @@
       .with("took_ms", took)
       .with("objective_ms", Duration(route.objective))
       .with("left_ms", remaining(context.final_at, now));
-  if (!plain) {
+  if (!is_ordinary) {
     line.with("digest", context.digest.text());
   }
   if (context.allowed_zones) {
--- a/ibismux/dispatch/request_end.h
+++ b/ibismux/dispatch/request_end.h
@@ -10,12 +10,12 @@
 
 namespace ibismux::dispatch {
 
-/// Counts a request that has ended, unless a peer counts it among its own, and
-/// writes its `request_end` line. Not thread safe.
+/// Counts a request that has ended, unless it was gathered for a peer, which
+/// counts it itself, and logs its `request_end` event. Not thread safe.
 ///
 /// @param partial Some shards are missing from the answer.
-/// @param add_fields Adds what this way of answering has to tell; called only
-/// where the line is written.
+/// @param add_fields Adds the fields that are specific to how the request was
+/// answered; called only if the event is logged.
 void note_request_end(
     const RequestContext& context,
     const Outcome& outcome,
--- a/ibismux/dispatch/request_run.cc
+++ b/ibismux/dispatch/request_run.cc
@@ -19,25 +19,26 @@
 
 using std::chrono::milliseconds;
 
-// Calls that lost against a repeat may go on this long: the longest pause of a
-// leaf so far, which then answers everything, and a little more.
-constexpr milliseconds kLoserGrace{300};
-// Work for a caller that has left is stopped well within half a second.
+// How long calls that lost against a hedge or retry may continue: slightly
+// longer than the longest known pause of a leaf, after which the leaf answers
+// all of its calls.
+constexpr milliseconds kLosingCallGrace{300};
+// Work for a caller that has disconnected is stopped well within half a second.
 constexpr milliseconds kCallerGoneGrace{250};
 
-// A timer that fires later than this says that the loop had other work.
-constexpr milliseconds kOnTime{1};
-// Parts whose hedges are due within this of each other are looked at in one
-// turn, so that a wide query doesn't wake the daemon for each of them.
-constexpr milliseconds kTogether{2};
+// A timer that fires later than this indicates that the event loop was busy.
+constexpr milliseconds kMaxTimerDelay{1};
+// Hedges that are due within this interval are sent together, so that a query
+// over many shards does not wake the daemon once for each of them.
+constexpr milliseconds kHedgeBatchWindow{2};
 
-// A queue that has not been empty for so long stands for more requests than
-// leafs can work on. The callers of a few seconds that come back together after
-// an outage make one, too, which is gone in less: they are served late, which
-// is better than not at all.
-constexpr milliseconds kStandingQueue{1000};
+// A queue that has not been empty for this long is a standing queue: more
+// requests arrive than the leafs can handle. After an outage, the callers of a
+// few seconds return at once and form a queue too, but it drains in less time.
+// They are served late rather than refused.
+constexpr milliseconds kStandingQueueAge{1000};
 
-Duration hedge_after(const RequestContext& context) {
+Duration hedge_delay_of(const RequestContext& context) {
   return hedge_delay(context.typical->value(),
                      context.due - context.request.received);
 }
@@ -48,49 +49,50 @@
                        std::shared_ptr<const RequestContext> context,
                        std::vector<std::shared_ptr<ServiceGroup>> groups,
                        Done done)
-    : shared(std::move(context)),
+    : shared_context(std::move(context)),
       groups(std::move(groups)),
       done(std::move(done)),
       timer(loop.get_executor()),
-      wake(this->shared->final_at) {}
+      wake_time(this->shared_context->final_at) {}
 
 void RequestRun::start() {
-  // The caller may have left before its request was begun: its connection's end
-  // can be read in the same turn of the loop as the request.
+  // The caller may have disconnected before the run was started: the event loop
+  // can read the end of the connection in the same iteration as the request.
   if (this->ended) {
     return;
   }
-  this->all.reserve(this->groups.size());
+  this->part_calls.reserve(this->groups.size());
   for (const auto& group : this->groups) {
-    const std::size_t index = this->all.size();
-    this->all.push_back(std::make_shared<PartCall>(
-        this->shared, group, [weak = this->weak_from_this(), index] {
+    const std::size_t index = this->part_calls.size();
+    this->part_calls.push_back(std::make_shared<PartCall>(
+        this->shared_context, group, [weak = this->weak_from_this(), index] {
           if (const auto self = weak.lock()) {
-            self->on_change(*self->all[index]);
+            self->on_change(*self->part_calls[index]);
           }
         }));
   }
-  if (this->refused(Clock::now())) {
+  if (this->refuse_if_unservable(Clock::now())) {
     return;
   }
-  this->shared->crashes->on_release([weak = this->weak_from_this()] {
+  this->shared_context->crashes->on_release([weak = this->weak_from_this()] {
     if (const auto self = weak.lock()) {
-      self->release_parts();
+      self->resume_parts();
     }
   });
-  // A call may end before `start()` returns: one that can't be sent does. Parts
-  // that have not begun yet would then pass for ones that never will.
+  // A call that cannot be sent ends before `start()` returns. Completion must
+  // not be checked until all parts are started: those that are not would be
+  // taken for parts that send nothing.
   this->starting = true;
-  for (const auto& part : this->all) {
+  for (const auto& part : this->part_calls) {
     part->start();
-    this->count(*part);
+    this->count_if_ended(*part);
   }
   this->starting = false;
   const TimePoint now = Clock::now();
-  this->sent_after = now - this->shared->request.received;
-  this->release_parts();
+  this->sent_after = now - this->shared_context->request.received;
+  this->resume_parts();
   if (!this->ended) {
-    this->settle(now);
+    this->check_completion(now);
   }
   if (!this->ended) {
     this->hedge_late_parts(now);
@@ -98,7 +100,7 @@
   }
 }
 
-bool RequestRun::refused(TimePoint now) {
+bool RequestRun::refuse_if_unservable(TimePoint now) {
   const Duration excess = this->excess_wait(now);
   if (excess <= Duration::zero()) {
     return false;
@@ -107,12 +109,12 @@
     this->fail_run(ErrorKind::kLeafUnavailable, "too few leafs can be reached");
     return true;
   }
-  if (!this->shared->policy->refuse_early) {
+  if (!this->shared_context->policy->refuse_early) {
     return false;
   }
-  // More requests than leafs can work on: taken in, each would wait behind
-  // those that are late already, and all would be late. One that can't be in
-  // time is better told so before any leaf works on it.
+  // Under overload, accepting every request would make all of them late, since
+  // each would wait behind requests that are late already. A request that
+  // cannot be in time is refused before any leaf works on it.
   const auto late = std::chrono::ceil<milliseconds>(excess);
   Error error =
       make_error(ErrorKind::kOverloaded,
@@ -126,39 +128,40 @@
 
 Duration RequestRun::excess_wait_at(const ServiceGroup& service,
                                     TimePoint now) const {
-  const ZoneNames* zones = this->shared->zones();
+  const ZoneNames* zones = this->shared_context->zones();
   if (!service.can_serve(zones)) {
     return Duration::max();
   }
-  const bool stands = service.queue().standing(now) > kStandingQueue;
-  const TimePoint latest = stands ? this->shared->due : this->shared->final_at;
-  const Duration work = this->shared->typical->unloaded();
-  return service.expected_wait(this->shared->route->priority, zones) -
+  const bool is_standing = service.queue().standing(now) > kStandingQueueAge;
+  const TimePoint latest =
+      is_standing ? this->shared_context->due : this->shared_context->final_at;
+  const Duration work = this->shared_context->typical->unloaded();
+  return service.expected_wait(this->shared_context->route->priority, zones) -
          std::max<Duration>(work, latest - now - work);
 }
 
-void RequestRun::count(const PartCall& part) noexcept {
-  this->ended_parts.answered +=
+void RequestRun::count_if_ended(const PartCall& part) noexcept {
+  this->ended_counts.answered +=
       part.state() == PartCall::State::kAnswered ? 1 : 0;
-  this->ended_parts.failed += part.state() == PartCall::State::kFailed ? 1 : 0;
+  this->ended_counts.failed += part.state() == PartCall::State::kFailed ? 1 : 0;
 }
 
 void RequestRun::on_change(const PartCall& part) {
-  this->count(part);
+  this->count_if_ended(part);
   if (!this->ended && !this->starting) {
-    this->settle(Clock::now());
+    this->check_completion(Clock::now());
   }
 }
 
-void RequestRun::release_parts() {
+void RequestRun::resume_parts() {
   if (this->ended || this->starting) {
     return;
   }
-  if (this->shared->crashes->is_hopeless()) {
+  if (this->shared_context->crashes->is_hopeless()) {
     this->fail_run(ErrorKind::kQuarantined, "each leaf that ran it has ended");
     return;
   }
-  for (const auto& part : this->all) {
+  for (const auto& part : this->part_calls) {
     part->resume();
     if (this->ended) {
       return;
@@ -167,15 +170,15 @@
 }
 
 TimePoint RequestRun::answer_by() const noexcept {
-  return this->shared->due - time_to_answer(this->sent_after);
+  return this->shared_context->due - time_to_answer(this->sent_after);
 }
 
 void RequestRun::wake_at(TimePoint when) {
-  this->wake = std::min(this->wake, when);
+  this->wake_time = std::min(this->wake_time, when);
 }
 
 void RequestRun::arm() {
-  this->timer.expires_at(this->wake);
+  this->timer.expires_at(this->wake_time);
   this->timer.async_wait([self = this->shared_from_this()](
                              const boost::system::error_code& error) {
     if (!error) {
@@ -187,55 +190,57 @@
 void RequestRun::on_timer() {
   const TimePoint now = Clock::now();
   if (this->ended) {
-    // A wait that ended just before the run did was for something else.
-    if (now < this->wake) {
+    // The wait completed just before the run ended, so it is not the one that
+    // `stop_parts()` armed.
+    if (now < this->wake_time) {
       this->arm();
       return;
     }
-    for (const auto& part : this->all) {
+    for (const auto& part : this->part_calls) {
       part->give_up();
     }
     return;
   }
-  if (this->is_behind(now)) {
+  if (this->rearm_if_late(now)) {
     return;
   }
-  this->wake = this->shared->final_at;
+  this->wake_time = this->shared_context->final_at;
   this->hedge_late_parts(now);
   if (!this->ended) {
-    this->settle(now);
+    this->check_completion(now);
   }
   if (!this->ended) {
     this->arm();
   }
 }
 
-bool RequestRun::is_behind(TimePoint now) {
-  const bool late = now > this->wake + kOnTime && !this->caught_up;
+bool RequestRun::rearm_if_late(TimePoint now) {
+  const bool late = now > this->wake_time + kMaxTimerDelay && !this->caught_up;
   this->caught_up = late;
   if (late) {
-    // A wait that is over at once ends behind all that can be read by then.
-    this->wake = now;
+    // The handler of a timer that has already expired runs after the handlers
+    // of all data that can be read by now.
+    this->wake_time = now;
     this->arm();
   }
   return late;
 }
 
 void RequestRun::hedge_late_parts(TimePoint now) {
-  const Duration patience = hedge_after(*this->shared);
-  for (const auto& part : this->all) {
-    const auto since = part->waits_since();
+  const Duration delay = hedge_delay_of(*this->shared_context);
+  for (const auto& part : this->part_calls) {
+    const auto since = part->waiting_since();
     if (!since) {
       continue;
     }
-    if (now + kTogether < *since + patience) {
-      this->wake_at(*since + patience);
+    if (now + kHedgeBatchWindow < *since + delay) {
+      this->wake_at(*since + delay);
       continue;
     }
     const std::shared_ptr<Leaf> leaf = part->tried().back();
     part->hedge();
-    if (this->shared->policy->share_unresponsive &&
-        leaf->estimate().is_unresponsive(patience, now)) {
+    if (this->shared_context->policy->share_unresponsive &&
+        leaf->estimate().is_unresponsive(delay, now)) {
       leaf->report_unresponsive(now);
     }
   }
@@ -245,61 +250,62 @@
   if (this->ended) {
     return;
   }
-  this->gone = true;
+  this->caller_gone = true;
   this->finish(fail(ErrorKind::kCancelled, "the caller is gone"));
 }
 
 void RequestRun::finish(Outcome outcome, bool partial) {
   this->ended = true;
-  if (!outcome && this->shared->attempts_elsewhere > 0) {
-    // Of what a peer's calls became nothing is known here.
+  if (!outcome && this->shared_context->attempts_elsewhere > 0) {
+    // Whether leafs have run the calls of the peer is unknown here.
     outcome.error().execution = Execution::kUnknown;
   }
   this->log_end(outcome, partial);
-  this->leave_parts();
+  this->stop_parts();
   const Done report = std::exchange(this->done, nullptr);
   report(std::move(outcome));
 }
 
-void RequestRun::leave_parts() {
+void RequestRun::stop_parts() {
   bool calls_left = false;
-  for (const auto& part : this->all) {
+  for (const auto& part : this->part_calls) {
     part->abandon();
     calls_left = calls_left || part->has_calls();
   }
-  // At-most-once work goes on to its end: to break it off would leave nobody
-  // knowing what was done.
-  const bool stop = this->shared->route->is_idempotent();
+  // At-most-once calls are not cancelled: it would then be unknown whether the
+  // leaf has done the work.
+  const bool stop = this->shared_context->route->is_idempotent();
   if (!calls_left || !stop) {
     this->timer.cancel();
     return;
   }
-  this->wake = Clock::now() + (this->gone ? kCallerGoneGrace : kLoserGrace);
+  this->wake_time =
+      Clock::now() + (this->caller_gone ? kCallerGoneGrace : kLosingCallGrace);
   this->arm();
 }
 
 void RequestRun::fail_run(ErrorKind kind, std::string message) {
-  const bool not_run =
-      std::all_of(this->all.begin(), this->all.end(), [](const auto& part) {
+  const bool not_run = std::all_of(
+      this->part_calls.begin(), this->part_calls.end(), [](const auto& part) {
         return part->certainly_not_run() && !part->has_calls();
       });
   Error error = make_error(kind, std::move(message));
   error.execution = not_run ? Execution::kNotRun : Execution::kUnknown;
   if (not_run) {
     error.retry_after = kind == ErrorKind::kQuarantined
-                            ? this->shared->crashes->held_for()
-                            : this->leafs_pause();
+                            ? this->shared_context->crashes->held_for()
+                            : this->retry_after_unanswered();
   }
   this->finish(tl::unexpected(std::move(error)));
 }
 
-milliseconds RequestRun::leafs_pause() const {
+milliseconds RequestRun::retry_after_unanswered() const {
   const TimePoint now = Clock::now();
   milliseconds pause{0};
-  for (const auto& part : this->all) {
+  for (const auto& part : this->part_calls) {
     if (part->state() != PartCall::State::kAnswered) {
-      pause = std::max(pause,
-                       part->service().retry_after(now, this->shared->zones()));
+      pause = std::max(pause, part->service().retry_after(
+                                  now, this->shared_context->zones()));
     }
   }
   return pause;
@@ -307,23 +313,23 @@
 
 void RequestRun::log_end(const Outcome& outcome, bool partial) {
   note_request_end(
-      *this->shared, outcome, partial, Clock::now(),
+      *this->shared_context, outcome, partial, Clock::now(),
       [this](eventlog::Event& line) { this->describe_parts(line); });
 }
 
 void RequestRun::describe_parts(eventlog::Event& line) const {
   std::size_t sends = 0;
   std::string missing;
-  for (const auto& part : this->all) {
+  for (const auto& part : this->part_calls) {
     sends += part->times_sent();
     if (part->state() != PartCall::State::kAnswered) {
       missing += (missing.empty() ? "" : " ") + part->service().name();
     }
   }
-  line.with("for_peer", this->shared->is_for_peer())
+  line.with("for_peer", this->shared_context->is_for_peer())
       .with("sent_after_ms", this->sent_after)
-      .with("parts", this->all.size())
-      .with("answered", this->ended_parts.answered)
+      .with("parts", this->part_calls.size())
+      .with("answered", this->ended_counts.answered)
       .with("sends", sends);
   if (!missing.empty()) {
     line.with("without", missing);
--- a/ibismux/dispatch/request_run.h
+++ b/ibismux/dispatch/request_run.h
@@ -16,11 +16,12 @@
 
 namespace ibismux::dispatch {
 
-/// One request from its arrival to its answer: its parts, its times, its end.
+/// Runs one request from its arrival to its answer: owns its parts, its timer
+/// and its completion.
 ///
-/// Subclasses decide when enough is there. Belongs to one event loop; not
-/// thread safe. Kept alive by its timer, which waits until
-/// the run has ended and no call that it would stop is under way.
+/// Subclasses decide when the request is complete. Belongs to one event loop;
+/// not thread safe. The timer keeps the run alive until the run has ended and
+/// none of the calls that it would cancel is in flight.
 class RequestRun : public std::enable_shared_from_this<RequestRun> {
  public:
   using Done = std::function<void(Outcome)>;
@@ -32,99 +33,105 @@
              Done done);
   virtual ~RequestRun() = default;
 
-  /// Begins. Called once.
+  /// Starts the run. Must be called only once.
   void start();
 
-  /// The caller is gone. Work that is about done may end; the rest is stopped
-  /// within `kCallerGoneGrace`.
+  /// The caller has disconnected. Calls that are about to complete may do so;
+  /// the others are cancelled within `kCallerGoneGrace`.
   void cancel();
 
  protected:
   using Parts = std::vector<std::shared_ptr<PartCall>>;
 
-  /// By how much the queues before the leafs are longer than the answer can
-  /// wait and still be in time; zero or less where it can, and
-  /// `Duration::max()` where too few leafs can be reached for any answer. Such
-  /// a request is refused before any leaf works on it.
+  /// Returns by how much the expected queueing delay exceeds the longest wait
+  /// with which the answer is still in time. Zero or less if the answer can be
+  /// in time, and `Duration::max()` if too few leafs can be reached for any
+  /// answer. A request that cannot be in time is refused before any leaf works
+  /// on it.
   [[nodiscard]] virtual Duration excess_wait(TimePoint now) const = 0;
 
-  /// The same for one service: by how much the wait before it is more than
-  /// leaves time for the work before the answer is due, if the queue there
-  /// stands, and before the last moment for any answer if it has only begun. A
-  /// wait no longer than the work is never too long: it is no sign of load,
-  /// whatever the objective.
+  /// Returns the same for one service. If its queue is a standing queue, the
+  /// wait must leave time for the work before the answer is due; if the queue
+  /// has only just formed, before the request's deadline. A wait no longer than
+  /// the work itself is never excessive, whatever the objective is, since it is
+  /// no sign of overload.
   [[nodiscard]] Duration excess_wait_at(const ServiceGroup& service,
                                         TimePoint now) const;
 
-  /// Looks at the parts and ends the run where that is due.
-  virtual void settle(TimePoint now) = 0;
+  /// Ends the run if the states of its parts allow or require it.
+  virtual void check_completion(TimePoint now) = 0;
 
-  /// Calls `settle()` no later than `when`, besides at every change of a part.
+  /// Calls `check_completion()` no later than `when`, in addition to each state
+  /// change of a part.
   void wake_at(TimePoint when);
 
-  /// How many parts there are in each state that ends one.
-  struct Tally {
+  /// The number of parts in each final state.
+  struct PartCounts {
     std::size_t answered = 0;
     std::size_t failed = 0;
   };
 
-  [[nodiscard]] const Parts& parts() const noexcept { return this->all; }
-  /// Counted as parts end: each end of a part looks at it.
-  [[nodiscard]] const Tally& tally() const noexcept {
-    return this->ended_parts;
+  [[nodiscard]] const Parts& parts() const noexcept { return this->part_calls; }
+  /// Updated as parts end, so that each end of a part can read it in constant
+  /// time.
+  [[nodiscard]] const PartCounts& part_counts() const noexcept {
+    return this->ended_counts;
   }
   [[nodiscard]] const RequestContext& context() const noexcept {
-    return *this->shared;
+    return *this->shared_context;
   }
-  /// When the answer should go out, even without its last shards.
+  /// When the answer should be sent, even if shards are still missing.
   [[nodiscard]] TimePoint answer_by() const noexcept;
-  [[nodiscard]] bool past_final(TimePoint now) const noexcept {
-    return now >= this->shared->final_at;
+  [[nodiscard]] bool is_past_deadline(TimePoint now) const noexcept {
+    return now >= this->shared_context->final_at;
   }
 
-  /// Sends every part again whose leaf takes longer than usual, once, and wakes
-  /// when the next one is due.
+  /// Hedges each part whose leaf takes longer than usual, at most once per
+  /// part, and schedules the timer for the next part.
   void hedge_late_parts(TimePoint now);
 
   /// Ends the run.
   void finish(Outcome outcome, bool partial = false);
 
-  /// Ends the run without an answer: kNotRun only where every part says so.
+  /// Ends the run with an error. Its execution is kNotRun only if no leaf has
+  /// run or will run any part.
   void fail_run(ErrorKind kind, std::string message);
 
  private:
-  /// Ends the run where it has no chance. @return Whether it did.
-  [[nodiscard]] bool refused(TimePoint now);
-  void count(const PartCall& part) noexcept;
+  /// Ends the run if it cannot succeed in time. @return Whether it did.
+  [[nodiscard]] bool refuse_if_unservable(TimePoint now);
+  void count_if_ended(const PartCall& part) noexcept;
   void on_change(const PartCall& part);
-  /// Parts may begin calls again, or none may any more.
-  void release_parts();
+  /// Resumes the parts whose sends were deferred, or fails the run if the
+  /// request may not be sent any more.
+  void resume_parts();
   void arm();
-  /// Whether the timer fired late; arms it again where it did. Then answers may
-  /// have come that this daemon has not read yet, for want of time of its own:
-  /// their calls would be sent once more, and make it later still.
-  [[nodiscard]] bool is_behind(TimePoint now);
+  /// Rearms the timer if it fired late, and returns whether it did. If the
+  /// event loop is late, answers may have arrived that have not been read yet.
+  /// Hedging their calls would add load and delay the loop further.
+  [[nodiscard]] bool rearm_if_late(TimePoint now);
   void on_timer();
-  void leave_parts();
-  /// When leafs may take the parts that are left.
-  [[nodiscard]] std::chrono::milliseconds leafs_pause() const;
+  void stop_parts();
+  /// When leafs may be able to take the unanswered parts.
+  [[nodiscard]] std::chrono::milliseconds retry_after_unanswered() const;
   void log_end(const Outcome& outcome, bool partial);
-  /// What became of the parts, for the log.
+  /// Adds the results of the parts to the log event.
   void describe_parts(eventlog::Event& line) const;
 
-  const std::shared_ptr<const RequestContext> shared;
+  const std::shared_ptr<const RequestContext> shared_context;
   const std::vector<std::shared_ptr<ServiceGroup>> groups;
   Done done;
-  Parts all;
-  Tally ended_parts;
-  Duration sent_after{0};  ///< From the arrival until all parts were begun.
+  Parts part_calls;
+  PartCounts ended_counts;
+  Duration sent_after{0};  ///< From the arrival until all parts were started.
   http::Timer timer;
-  TimePoint wake;
-  /// The timer has fired late, and what came meanwhile has been read since.
+  TimePoint wake_time;
+  /// The timer has fired late, and the events that were pending then have been
+  /// handled since.
   bool caught_up = false;
   bool starting = false;
   bool ended = false;
-  bool gone = false;  ///< The caller has left.
+  bool caller_gone = false;  ///< The caller has disconnected.
 };
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/scatter_run.cc
+++ b/ibismux/dispatch/scatter_run.cc
@@ -14,16 +14,17 @@
 
 using State = PartCall::State;
 
-// Of a whole shard; keeps 0.9 of ten shards from being ten by rounding up.
-constexpr double kRounding = 1e-6;
+// Tolerance, in shards, for floating-point errors: without it, 0.9 of ten
+// shards would be rounded up to ten.
+constexpr double kRoundingTolerance = 1e-6;
 
 }  // namespace
 
-std::size_t ScatterRun::needed() const {
+std::size_t ScatterRun::required_shards() const {
   const double shards = static_cast<double>(this->parts().size());
-  const double least = this->context().route->minimum_coverage * shards;
+  const double min_shards = this->context().route->minimum_coverage * shards;
   return std::max<std::size_t>(
-      1, static_cast<std::size_t>(std::ceil(least - kRounding)));
+      1, static_cast<std::size_t>(std::ceil(min_shards - kRoundingTolerance)));
 }
 
 Duration ScatterRun::excess_wait(TimePoint now) const {
@@ -32,26 +33,27 @@
   for (const auto& part : this->parts()) {
     excess.push_back(this->excess_wait_at(part->service(), now));
   }
-  // The answer is there when the last shard is that it can't do without.
+  // The answer is available once the last one of the required shards has
+  // answered.
   const auto last =
-      excess.begin() + static_cast<std::ptrdiff_t>(this->needed()) - 1;
+      excess.begin() + static_cast<std::ptrdiff_t>(this->required_shards()) - 1;
   std::nth_element(excess.begin(), last, excess.end());
   return *last;
 }
 
-void ScatterRun::settle(TimePoint now) {
-  const std::size_t answered = this->tally().answered;
+void ScatterRun::check_completion(TimePoint now) {
+  const std::size_t answered = this->part_counts().answered;
   const std::size_t open =
-      this->parts().size() - answered - this->tally().failed;
-  const std::size_t needed = this->needed();
-  const bool enough = answered >= needed;
-  const bool may_leave_out =
+      this->parts().size() - answered - this->part_counts().failed;
+  const std::size_t required_shards = this->required_shards();
+  const bool enough = answered >= required_shards;
+  const bool may_omit_open =
       this->context().policy->partial_answers && now >= this->answer_by();
-  if (enough && (open == 0 || may_leave_out || this->past_final(now))) {
-    this->answer(answered);
-  } else if (this->past_final(now)) {
+  if (enough && (open == 0 || may_omit_open || this->is_past_deadline(now))) {
+    this->finish_merged(answered);
+  } else if (this->is_past_deadline(now)) {
     this->fail_run(ErrorKind::kDeadlineExceeded, "too few shards in time");
-  } else if (answered + open < needed) {
+  } else if (answered + open < required_shards) {
     this->fail_run(ErrorKind::kLeafUnavailable,
                    "too few shards can be reached");
   } else if (now < this->answer_by()) {
@@ -59,7 +61,7 @@
   }
 }
 
-void ScatterRun::answer(std::size_t answered) {
+void ScatterRun::finish_merged(std::size_t answered) {
   MergedAnswer merged;
   merged.missing_shards = this->parts().size() - answered;
   RecordMerger merger(this->context().route->top_records);
--- a/ibismux/dispatch/scatter_run.h
+++ b/ibismux/dispatch/scatter_run.h
@@ -7,21 +7,21 @@
 
 /// A query over all shards of its route.
 ///
-/// It ends with all shards in; or, once waiting longer would make the answer
-/// late, with as many as the route demands; or as soon as the shards that may
-/// still come can't make up what it demands.
+/// The run ends when all shards have answered; when waiting longer would make
+/// the answer late and the route's minimum coverage is reached; or as soon as
+/// that coverage cannot be reached any more.
 class ScatterRun : public RequestRun {
  public:
   using RequestRun::RequestRun;
 
  protected:
   [[nodiscard]] Duration excess_wait(TimePoint now) const override;
-  void settle(TimePoint now) override;
+  void check_completion(TimePoint now) override;
 
  private:
-  /// How many shards an answer must have.
-  [[nodiscard]] std::size_t needed() const;
-  void answer(std::size_t answered);
+  /// The minimum number of shards in an answer.
+  [[nodiscard]] std::size_t required_shards() const;
+  void finish_merged(std::size_t answered);
 };
 
 }  // namespace ibismux::dispatch
