--- a/ibismux/dispatch/query_delegate.h
+++ b/ibismux/dispatch/query_delegate.h
@@ -13,34 +13,34 @@
 
 namespace ibismux::dispatch {
 
-/// Has queries over many shards gathered by another daemon.
+/// Delegates queries over many shards to another daemon, which gathers them.
 ///
 /// Belongs to the dispatcher's event loop; not thread safe.
 class QueryDelegate {
  public:
-  /// A query, and by what it was routed.
+  /// A query and the version of the configuration that routed it.
   struct Query {
     CallerRequest request;
     std::uint64_t configuration = 0;
-    TimePoint due;       ///< When its answer should go out.
-    TimePoint final_at;  ///< The last moment for any answer.
+    TimePoint due;       ///< When its answer should be sent.
+    TimePoint final_at;  ///< The deadline for any answer.
   };
 
   struct Delegated {
-    /// Nothing: the query is to be gathered here. A success is a
+    /// Empty if the query has to be gathered by this daemon. A success holds a
     /// `MergedAnswer`.
     std::optional<Outcome> outcome;
-    /// Nothing came back in time, but some leafs may have run the query.
+    /// No answer arrived in time, but some leafs may have run the query.
     bool may_have_run = false;
   };
 
   virtual ~QueryDelegate() = default;
 
-  /// Whether some daemon would take a query now.
+  /// Whether a daemon is available to take a query now.
   [[nodiscard]] virtual bool is_available(TimePoint now) const = 0;
 
-  /// Has `query` gathered. Ends with an outcome of kind kCancelled soon after
-  /// the caller has gone.
+  /// Has `query` gathered by another daemon. Ends with an outcome of kind
+  /// kCancelled soon after the caller has disconnected.
   /// @param caller Its callback is replaced.
   [[nodiscard]] virtual Task<Delegated> run(
       Query query,
--- a/ibismux/dispatch/query_gatherer.h
+++ b/ibismux/dispatch/query_gatherer.h
@@ -11,7 +11,8 @@
 
 namespace ibismux::dispatch {
 
-/// Tells whether the peer whose query is gathered knows that it is.
+/// Whether the peer whose query is being gathered knows that this daemon
+/// gathers it.
 struct Confirmation {
   bool given = false;
 };
@@ -23,13 +24,14 @@
  public:
   virtual ~QueryGatherer() = default;
 
-  /// The version of the configuration in force; 0: none.
+  /// The version of the configuration in force; 0 if there is none.
   [[nodiscard]] virtual std::uint64_t configuration() const noexcept = 0;
 
-  /// Gathers a query of a peer here; it is not handed on.
-  /// Until `confirmation` is given the peer may gather the query as well: then
-  /// one attempt fewer than the route allows is made here, and one there.
-  /// @param cancelled Tells when nobody waits for the answer any more.
+  /// Gathers a query of a peer on this daemon, without delegating it further.
+  /// Until `confirmation` is given the peer may gather the query as well. This
+  /// daemon then makes one attempt fewer than the route allows, which leaves
+  /// one to the peer.
+  /// @param cancelled Signals that the answer is no longer needed.
   [[nodiscard]] virtual Task<Outcome> gather(
       CallerRequest request,
       std::shared_ptr<const Confirmation> confirmation,
