--- a/tests/dispatch/allowed_regions_test.cc
+++ b/tests/dispatch/allowed_regions_test.cc
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-/// Zones z0 and z1 lie in two regions; that of z2 isn't known.
+/// Zones z0 and z1 lie in two regions; the region of z2 is unknown.
 struct RegionFixture : DispatchFixture {
   explicit RegionFixture(std::vector<std::string> allowed) {
     this->settings.zone_regions = {{"z0", "south"}, {"z1", "north"}};
@@ -16,7 +16,7 @@
     this->configure(2);
   }
 
-  /// Whether each run was in one of `zones`.
+  /// Returns whether all runs were in `zones`.
   [[nodiscard]] bool ran_only_in(const ZoneNames& zones) const {
     return std::all_of(
         this->leafs.runs.begin(), this->leafs.runs.end(),
@@ -26,8 +26,8 @@
   }
 };
 
-// Guards against requests that leave the regions they are bound to.
-Test(allowed_regions, requests_stay_in_them) {
+// Guards against requests sent to leafs outside their allowed regions.
+Test(allowed_regions, requests_run_only_in_allowed_regions) {
   RegionFixture fixture({"north"});
   for (const char* path : {"/query/", "/page/", "/order/"}) {
     cr_assert(fixture.run_many(path, 10) == 10);
@@ -35,13 +35,13 @@
   cr_assert(fixture.ran_only_in({"z1"}));
 }
 
-Test(allowed_regions, a_zone_whose_region_is_not_known_gets_nothing) {
+Test(allowed_regions, zones_of_unknown_region_get_no_requests) {
   RegionFixture fixture({"north", "south", ""});
   cr_assert(fixture.run_many("/page/", 20) == 20);
   cr_assert(fixture.ran_only_in({"z0", "z1"}));
 }
 
-Test(allowed_regions, without_them_all_zones_serve) {
+Test(allowed_regions, all_zones_serve_if_no_region_is_set) {
   RegionFixture fixture({});
   fixture.leafs.behaviour["desk-0"].refuses_dials = true;
   fixture.leafs.behaviour["desk-1"].refuses_dials = true;
@@ -49,8 +49,8 @@
   cr_assert(fixture.ran_only_in({"z2"}));
 }
 
-// Guards against hedges and retries that leave the regions.
-Test(allowed_regions, hedges_and_retries_stay_in_them) {
+// Guards against hedges and retries sent outside the allowed regions.
+Test(allowed_regions, hedges_and_retries_stay_in_allowed_regions) {
   RegionFixture fixture({"north"});
   fixture.patience = milliseconds(100);
   fixture.leafs.behaviour["desk-1"].silent = true;
@@ -62,8 +62,9 @@
   cr_assert(fixture.ran_only_in({"z1"}));
 }
 
-// Guards against requests that wait in vain for leafs of other regions.
-Test(allowed_regions, with_no_leaf_left_there_requests_are_refused_at_once) {
+// Guards against requests that wait until their deadline for leafs of other
+// regions.
+Test(allowed_regions, without_a_leaf_there_requests_are_refused_at_once) {
   RegionFixture evacuated({"north"});
   evacuated.dispatcher.set_evacuated({"z1"});
   RegionFixture unknown({"west"});
@@ -78,7 +79,7 @@
   }
 }
 
-Test(allowed_regions, zones_that_are_named_later_serve_from_then_on) {
+Test(allowed_regions, a_zone_serves_once_its_region_is_configured) {
   RegionFixture fixture({"west"});
   cr_assert(fixture.run_many("/page/", 1) == 0);
   fixture.settings.zone_regions["z2"] = "west";
@@ -87,8 +88,9 @@
   cr_assert(fixture.ran_only_in({"z2"}));
 }
 
-// Guards against calls that start elsewhere once a leaf there has room.
-Test(allowed_regions, a_call_that_waits_for_room_stays_in_them) {
+// Guards against queued calls that start at a leaf outside the allowed regions
+// once it has room.
+Test(allowed_regions, queued_calls_stay_in_allowed_regions) {
   RegionFixture fixture({"north"});
   fixture.leafs.behaviour["desk-1"].work = milliseconds(2);
   for (int i = 0; i < 60; ++i) {
--- a/tests/dispatch/answer_timing_test.cc
+++ b/tests/dispatch/answer_timing_test.cc
@@ -1,6 +1,7 @@
-// The load that this answers: objectives of 40 ms, callers 3 ms away, queries
-// over 90 shards of which three or four pause at any moment, so that nearly all
-// answers wait until they are due. A third of the requests open a connection.
+// The timing is designed for objectives of 40 ms, callers with a one-way delay
+// of 3 ms, and queries over 90 shards of which three or four pause at any
+// moment, so that nearly all answers wait until they are due. A third of the
+// requests open a connection.
 
 #include "ibismux/dispatch/answer_timing.h"
 
@@ -11,21 +12,23 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kWay{3};
+constexpr milliseconds kOneWayDelay{3};
 
-/// How long the caller has waited when the answer is there.
+/// Returns how long the caller has waited when the answer arrives, if the
+/// answer is sent when it is due.
 Duration waited(milliseconds objective, bool opens_connection) {
   const TimePoint received{};
-  const Duration here =
+  const Duration until_due =
       answer_due(received, objective, opens_connection) - received;
-  return here + 2 * kWay + (opens_connection ? 2 * kWay : milliseconds(0));
+  return until_due + 2 * kOneWayDelay +
+         (opens_connection ? 2 * kOneWayDelay : milliseconds(0));
 }
 
-Test(answer_timing, an_answer_that_waits_reaches_its_caller_in_time) {
+Test(answer_timing, an_answer_sent_when_due_reaches_its_caller_in_time) {
   for (const milliseconds objective :
        {milliseconds(40), milliseconds(80), milliseconds(200)}) {
     for (const bool opens : {false, true}) {
-      // And leaves the daemon two milliseconds to make it.
+      // The daemon needs two milliseconds to assemble the answer.
       cr_assert(waited(objective, opens) <= objective - milliseconds(2));
     }
   }
@@ -35,7 +38,7 @@
   const TimePoint received{};
   cr_assert(answer_due(received, milliseconds(40), false) -
                 answer_due(received, milliseconds(40), true) ==
-            2 * kWay);
+            2 * kOneWayDelay);
 }
 
 Test(answer_timing, a_short_objective_leaves_half_of_it_to_the_shards) {
@@ -44,8 +47,8 @@
             milliseconds(5));
 }
 
-// Guards against answers that are late by the time it takes to make them.
-Test(answer_timing, a_slow_host_begins_its_answer_sooner) {
+// Guards against answers that are late by the time needed to assemble them.
+Test(answer_timing, a_slow_host_starts_assembling_earlier) {
   cr_assert(time_to_answer(milliseconds(9)) >= milliseconds(1));
   cr_assert(time_to_answer(std::chrono::microseconds(500)) <=
             std::chrono::microseconds(100));
--- a/tests/dispatch/crashing_request_test.cc
+++ b/tests/dispatch/crashing_request_test.cc
@@ -7,10 +7,11 @@
 
 using testing::DispatchFixture;
 
-// Attempts of callers that may reach leafs once three leafs have ended.
-constexpr int kMostRetries = 3;
+// The maximum number of attempts of callers that reach leafs before the request
+// is quarantined, which happens once three leafs have crashed.
+constexpr int kMaxAttemptsReachingLeafs = 3;
 
-/// Sends `path` `attempts` times; all leafs are back before each.
+/// Sends `path` `attempts` times; all crashed leafs are restarted before each.
 /// @return How many attempts reached a leaf.
 int attempts_that_reach_leafs(DispatchFixture& fixture,
                               const std::string& path,
@@ -26,21 +27,25 @@
   return reached;
 }
 
-// Guards against a query that ends all leafs of a service at each repeat.
-Test(crashing_request, a_query_that_ends_leafs_is_kept_from_them) {
+// Guards against a query that crashes all leafs of a service each time its
+// caller retries it.
+Test(crashing_request, a_query_that_crashes_leafs_is_quarantined) {
   DispatchFixture fixture;
   cr_assert(attempts_that_reach_leafs(fixture, "/query/bad", 8) <=
-            kMostRetries);
+            kMaxAttemptsReachingLeafs);
 }
 
-// Guards against a request for one leaf that ends one after the other.
-Test(crashing_request, a_page_that_ends_leafs_is_kept_from_them) {
+// Guards against a request to a single leaf that crashes one leaf after the
+// other.
+Test(crashing_request, a_page_that_crashes_leafs_is_quarantined) {
   DispatchFixture fixture;
-  cr_assert(attempts_that_reach_leafs(fixture, "/page/bad", 8) <= kMostRetries);
+  cr_assert(attempts_that_reach_leafs(fixture, "/page/bad", 8) <=
+            kMaxAttemptsReachingLeafs);
 }
 
-// Guards against a caller that waits in vain, or is told to return too soon.
-Test(crashing_request, the_refusal_comes_at_once_with_the_time_to_return) {
+// Guards against a caller that waits until its deadline for a quarantined
+// request, or is told to retry too soon.
+Test(crashing_request, it_is_refused_at_once_with_a_retry_time) {
   DispatchFixture fixture;
   attempts_that_reach_leafs(fixture, "/query/bad", 3);
   const Outcome& outcome = fixture.run("last", "/query/bad");
@@ -50,8 +55,8 @@
   cr_assert(fixture.leafs.times_run("last") == 0);
 }
 
-// Guards against all leafs of a service ended by one attempt.
-Test(crashing_request, an_attempt_spares_most_replicas) {
+// Guards against one attempt that crashes all leafs of a service.
+Test(crashing_request, one_attempt_crashes_few_replicas) {
   DispatchFixture fixture;
   fixture.leafs.crashing_target = "/query/bad";
   fixture.run("bad", "/query/bad");
@@ -60,8 +65,9 @@
   cr_assert(fixture.run("good", "/query/good").has_value());
 }
 
-// Guards against a request that is held for leafs that ended for other reasons.
-Test(crashing_request, leafs_that_end_by_themselves_condemn_nothing) {
+// Guards against the quarantine of a request because of leafs that ended for
+// other reasons.
+Test(crashing_request, leafs_that_end_for_other_reasons_cause_no_quarantine) {
   DispatchFixture fixture;
   for (int i = 0; i < 6; ++i) {
     for (const char* service : {"s1", "s2", "s3", "s4"}) {
@@ -83,8 +89,9 @@
   cr_assert(fixture.dispatcher.quarantine().size() == 0);
 }
 
-// Guards against a request that is lost with one that ends its leaf.
-Test(crashing_request, a_bystander_is_served_by_another_leaf) {
+// Guards against the loss of a request that ran on a leaf crashed by another
+// request.
+Test(crashing_request, another_request_of_a_crashed_leaf_is_retried) {
   DispatchFixture fixture;
   fixture.all_of("desk", {.work = std::chrono::milliseconds(50)});
   fixture.leafs.crashing_target = "/page/bad";
--- a/tests/dispatch/forward_test.cc
+++ b/tests/dispatch/forward_test.cc
@@ -11,7 +11,7 @@
 using testing::Behaviour;
 using testing::DispatchFixture;
 
-Test(forward, the_leafs_answer_comes_back_whole) {
+Test(forward, the_leafs_answer_is_returned_unmodified) {
   DispatchFixture fixture;
   const Outcome& outcome = fixture.run("r1", "/page/1");
   cr_assert(outcome.has_value());
@@ -19,7 +19,7 @@
   cr_assert(answer.status == 200 && answer.receipt == "desk-0.r1");
 }
 
-Test(forward, without_a_configuration_the_caller_is_told_when_to_come_back) {
+Test(forward, without_a_configuration_the_refusal_has_a_retry_time) {
   boost::asio::io_context loop;
   prometheus::Registry registry;
   eventlog::EventLog log(loop, {.descriptor = -1});
@@ -40,13 +40,14 @@
   cr_assert(outcome->error().retry_after.has_value());
 }
 
-Test(forward, what_no_route_covers_is_not_found) {
+Test(forward, a_path_without_a_route_is_not_found) {
   DispatchFixture fixture;
   cr_assert(fixture.run("r1", "/nowhere").error().kind == ErrorKind::kNotFound);
 }
 
-// Guards against a reservation that is sent to a second leaf after a reset.
-Test(forward, at_most_once_is_not_sent_again_after_a_byte_left) {
+// Guards against a reservation that is sent to a second leaf after a connection
+// reset.
+Test(forward, at_most_once_is_not_sent_again_after_a_byte_was_sent) {
   DispatchFixture fixture;
   fixture.all_of("desk", {.resets = true});
   const Outcome& outcome = fixture.run("r1", "/order/1");
@@ -54,21 +55,21 @@
   cr_assert(fixture.leafs.times_run("r1") == 1);
 }
 
-Test(forward, at_most_once_goes_on_where_the_leaf_says_that_it_was_not_run) {
+Test(forward, at_most_once_is_sent_again_if_the_leaf_has_not_run_it) {
   DispatchFixture fixture;
   fixture.leafs.behaviour["desk-0"] = {.sheds = true};
   cr_assert(fixture.run("r1", "/order/1").has_value());
   cr_assert(fixture.leafs.times_run("r1") == 1);
 }
 
-Test(forward, at_most_once_goes_on_where_no_byte_was_sent) {
+Test(forward, at_most_once_is_sent_again_if_no_byte_was_sent) {
   DispatchFixture fixture;
   fixture.leafs.behaviour["desk-0"] = {.refuses_dials = true};
   cr_assert(fixture.run("r1", "/order/1").has_value());
   cr_assert(fixture.leafs.times_run("r1") == 1);
 }
 
-Test(forward, all_leafs_full_is_a_refusal_that_is_true) {
+Test(forward, if_all_leafs_are_full_the_error_says_not_run) {
   DispatchFixture fixture;
   fixture.all_of("desk", {.sheds = true});
   const Outcome& outcome = fixture.run("r1", "/order/1");
@@ -85,17 +86,18 @@
   cr_assert(fixture.leafs.times_run("r1") == 2);
 }
 
-Test(forward, the_routes_attempts_are_never_passed) {
+Test(forward, the_routes_maximum_of_attempts_is_respected) {
   DispatchFixture fixture;
   fixture.all_of("desk", {.fails = true});
   const Outcome& outcome = fixture.run("r1", "/page/1");
-  // The leaf's own failure says more than one of ours.
+  // The leaf's own error response is more specific than an error of the daemon.
   cr_assert(std::get<LeafAnswer>(*outcome).status == 500);
   cr_assert(fixture.leafs.times_run("r1") == 2);
 }
 
-// Guards against a run that has ended before it begins, and ends twice.
-Test(forward, a_request_whose_caller_has_left_reaches_no_leaf) {
+// Guards against a run that is cancelled before it starts and then completes a
+// second time.
+Test(forward, a_request_cancelled_before_its_start_reaches_no_leaf) {
   for (const char* path : {"/page/1", "/order/1", "/query/1"}) {
     DispatchFixture fixture;
     fixture.begin("r1", path)->cancel();
@@ -106,7 +108,8 @@
   }
 }
 
-// Guards against an address that is taken for the leaf which had it.
+// Guards against calls to a process that has taken over the address of another
+// leaf.
 Test(forward, a_leaf_whose_address_was_taken_over_gets_no_more_calls) {
   DispatchFixture fixture;
   fixture.leafs.behaviour["desk-0"] = {.replaced = true};
@@ -128,7 +131,7 @@
   cr_assert(fixture.leafs.runs["desk-0"].empty());
 }
 
-Test(forward, without_leafs_the_refusal_comes_at_once) {
+Test(forward, without_leafs_the_request_is_refused_at_once) {
   DispatchFixture fixture;
   for (int i = 0; i < 3; ++i) {
     fixture.dispatcher.on_leaf_gone("desk-" + std::to_string(i), "removed");
@@ -138,7 +141,7 @@
   cr_assert(outcome.error().retry_after.has_value());
 }
 
-Test(forward, a_silent_leaf_ends_with_the_callers_time_and_no_promise) {
+Test(forward, a_silent_leaf_leads_to_an_unknown_outcome_at_the_deadline) {
   DispatchFixture fixture;
   fixture.patience = std::chrono::milliseconds(60);
   fixture.all_of("desk", {.silent = true});
@@ -147,8 +150,9 @@
   cr_assert(fixture.leafs.times_run("r1") == 1);
 }
 
-// Guards against a timeout told as a failed leaf by a daemon that runs late.
-Test(forward, a_silent_leaf_is_a_timeout_also_where_the_daemon_is_late) {
+// Guards against reporting a timeout as a failed leaf when the daemon's event
+// loop is late.
+Test(forward, a_silent_leaf_is_a_timeout_even_if_the_daemon_is_late) {
   for (const char* path : {"/order/1", "/page/1"}) {
     DispatchFixture fixture;
     fixture.patience = std::chrono::milliseconds(400);
@@ -164,8 +168,8 @@
   }
 }
 
-// Guards against leafs that work for callers who have left.
-Test(forward, work_for_a_caller_that_left_is_stopped) {
+// Guards against leafs that keep working for callers that have disconnected.
+Test(forward, calls_of_a_disconnected_caller_are_cancelled) {
   DispatchFixture fixture;
   fixture.all_of("desk", {.silent = true});
   const auto caller = fixture.begin("r1", "/page/1");
@@ -175,7 +179,8 @@
   cr_assert(fixture.run_until([&] { return fixture.outcomes.contains("r1"); }));
   cr_assert(fixture.outcomes.at("r1").error().kind == ErrorKind::kCancelled);
   fixture.all_of("desk", {});
-  // The link of the call was closed: the next one dials.
+  // The connection of the cancelled call was closed, so a later call has to
+  // dial.
   const int before = fixture.leafs.dials["desk-0"];
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   fixture.run("r2", "/page/1");
--- a/tests/dispatch/gather_for_peer_test.cc
+++ b/tests/dispatch/gather_for_peer_test.cc
@@ -7,8 +7,8 @@
 
 using std::chrono::milliseconds;
 
-/// Queries of a peer over four shards of three leafs each; the route allows two
-/// attempts at each shard.
+/// Gathers queries of a peer over four shards with three leafs each; the route
+/// allows two attempts per shard.
 struct PeerFixture : DispatchFixture {
   void gather(const std::string& id, bool is_confirmed) {
     auto confirmation = std::make_shared<Confirmation>();
@@ -20,15 +20,15 @@
   }
 };
 
-Test(gather_for_peer, a_query_is_gathered_whole) {
+Test(gather_for_peer, a_query_is_answered_by_all_shards) {
   PeerFixture fixture;
   fixture.gather("q1", true);
   cr_assert(fixture.merged("q1").missing_shards == 0);
   cr_assert(fixture.leafs.times_run("q1") == 4);
 }
 
-// Guards against more leafs of a shard than the route allows.
-Test(gather_for_peer, unconfirmed_it_gets_one_attempt_less) {
+// Guards against sending a shard's part to more leafs than the route allows.
+Test(gather_for_peer, an_unconfirmed_query_gets_one_attempt_fewer) {
   PeerFixture fixture;
   fixture.leafs.behaviour["s1-0"].fails = true;
   fixture.gather("q1", false);
@@ -36,7 +36,7 @@
   cr_assert(fixture.leafs.times_run("q1") == 4);
 }
 
-Test(gather_for_peer, confirmed_it_gets_all_attempts) {
+Test(gather_for_peer, a_confirmed_query_gets_all_attempts) {
   PeerFixture fixture;
   fixture.leafs.behaviour["s1-0"].fails = true;
   fixture.gather("q1", true);
@@ -44,21 +44,22 @@
   cr_assert(fixture.leafs.times_run("q1") == 5);
 }
 
-/// A peer that can't be told from one that has run the query, or hasn't.
+/// A peer that returns no answer. `may_have_run` sets whether it may have run
+/// the query.
 class LostDelegate : public QueryDelegate {
  public:
   [[nodiscard]] bool is_available(TimePoint) const override { return true; }
   [[nodiscard]] Task<Delegated> run(
       Query query,
       std::shared_ptr<http::CancelToken>) override {
-    this->asked.push_back(query.request.id);
+    this->received_ids.push_back(query.request.id);
     co_return Delegated{std::nullopt, this->may_have_run};
   }
   bool may_have_run = true;
-  std::vector<std::string> asked;
+  std::vector<std::string> received_ids;
 };
 
-/// Eight shards: fewer are never handed over.
+/// Eight shards: queries over fewer are never delegated.
 struct DelegatingFixture : DispatchFixture {
   DelegatingFixture() {
     auto route = this->dispatcher.table()->routes().front();
@@ -75,15 +76,16 @@
   LostDelegate delegate;
 };
 
-Test(delegating, what_a_peer_may_have_run_gets_one_attempt_less_here) {
+Test(delegating, a_query_that_a_peer_may_have_run_gets_one_attempt_fewer) {
   DelegatingFixture fixture;
   fixture.leafs.behaviour["s1-0"].fails = true;
   cr_assert(fixture.run("q1", "/query/").has_value());
-  cr_assert(fixture.delegate.asked.size() == 1);
+  cr_assert(fixture.delegate.received_ids.size() == 1);
   cr_assert(fixture.leafs.times_run("q1") == 8);
 }
 
-Test(delegating, what_a_peer_may_have_run_is_never_called_not_run) {
+Test(delegating,
+     a_query_that_a_peer_may_have_run_is_never_reported_as_not_run) {
   DelegatingFixture fixture;
   fixture.dispatcher.set_evacuated({"z0", "z1", "z2"});
   const Outcome& outcome = fixture.run("q1", "/query/");
@@ -95,7 +97,7 @@
   cr_assert(second.error().execution == Execution::kNotRun);
 }
 
-Test(delegating, what_no_peer_has_taken_gets_all_attempts_here) {
+Test(delegating, a_query_that_no_peer_has_taken_gets_all_attempts) {
   DelegatingFixture fixture;
   fixture.delegate.may_have_run = false;
   fixture.leafs.behaviour["s1-0"].fails = true;
@@ -103,12 +105,15 @@
   cr_assert(fixture.leafs.times_run("q1") == 9);
 }
 
-// Guards against a query whose body goes to a host outside its regions.
-Test(delegating, a_query_that_is_bound_to_other_regions_stays_here) {
-  for (const bool is_home : {true, false}) {
+// Guards against sending the body of a query to a host outside the allowed
+// regions.
+Test(delegating, a_query_bound_to_other_regions_is_not_delegated) {
+  for (const bool own_zone_allowed : {true, false}) {
     DelegatingFixture fixture;
     fixture.settings.zone_regions = {
-        {"z0", is_home ? "north" : "south"}, {"z1", "north"}, {"z2", "north"}};
+        {"z0", own_zone_allowed ? "north" : "south"},
+        {"z1", "north"},
+        {"z2", "north"}};
     fixture.dispatcher.update_settings(fixture.settings);
     auto route = fixture.dispatcher.table()->routes().front();
     route.allowed_regions = {"north"};
@@ -116,16 +121,17 @@
         3, std::vector<routing::Route>{route},
         std::vector<routing::ServiceSpec>{}, routing::CallerLimits{}));
     cr_assert(fixture.run("q1", "/query/").has_value());
-    cr_assert(fixture.delegate.asked.size() == (is_home ? 1 : 0));
+    cr_assert(fixture.delegate.received_ids.size() ==
+              (own_zone_allowed ? 1 : 0));
   }
 }
 
-Test(delegating, a_query_over_few_shards_stays_here) {
+Test(delegating, a_query_over_few_shards_is_not_delegated) {
   DispatchFixture fixture;
   LostDelegate delegate;
   fixture.dispatcher.set_delegate(delegate);
   cr_assert(fixture.run("q1", "/query/").has_value());
-  cr_assert(delegate.asked.empty());
+  cr_assert(delegate.received_ids.empty());
 }
 
 }  // namespace
--- a/tests/dispatch/repeat_burst_test.cc
+++ b/tests/dispatch/repeat_burst_test.cc
@@ -20,21 +20,21 @@
   return repeat_burst(slack, sharers);
 }
 
-Test(repeat_burst, hosts_that_are_alike_share_evenly) {
+Test(repeat_burst, hosts_with_the_same_role_share_evenly) {
   cr_assert(burst(99, 0, false) == 2);
   cr_assert(burst(99, 99, true) == 2);
   cr_assert(burst(3, 0, false) == burst(2, 0, false));
 }
 
-// The load: few daemons call the leafs of all wide queries.
-Test(repeat_burst, daemons_that_gather_may_save_up_more) {
+// A few daemons make the leaf calls of all queries over many shards.
+Test(repeat_burst, gathering_daemons_may_accumulate_more) {
   cr_assert(burst(79, 6, true) == 6);
   cr_assert(burst(79, 6, false) > 2);
   cr_assert(burst(79, 6, true) > 2 * burst(79, 0, false));
 }
 
-// Guards against a fleet that sends more repeats than its services bear.
-Test(repeat_burst, all_parts_add_up_to_no_more_than_the_whole) {
+// Guards against a fleet that sends more repeats than its services can bear.
+Test(repeat_burst, the_shares_add_up_to_no_more_than_the_total) {
   for (const double slack : {0.0, 3.0, 54.0, 198.0, 5000.0}) {
     for (std::size_t hosts = 1; hosts <= 300; hosts += 13) {
       for (std::size_t gatherers = 0; gatherers <= hosts; gatherers += 7) {
--- a/tests/dispatch/scatter_test.cc
+++ b/tests/dispatch/scatter_test.cc
@@ -11,7 +11,7 @@
 using testing::Behaviour;
 using testing::DispatchFixture;
 
-Test(scatter, all_shards_are_in_a_whole_answer) {
+Test(scatter, an_answer_has_all_shards) {
   DispatchFixture fixture;
   cr_assert(fixture.run("r1", "/query/1").has_value());
   const MergedAnswer& answer = fixture.merged("r1");
@@ -20,7 +20,7 @@
   cr_assert(answer.records.size() == DispatchFixture::kShards * 16);
 }
 
-Test(scatter, the_own_zone_is_asked) {
+Test(scatter, leafs_of_the_own_zone_are_called) {
   DispatchFixture fixture;
   fixture.run("r1", "/query/1");
   for (std::size_t i = 1; i <= DispatchFixture::kShards; ++i) {
@@ -30,8 +30,8 @@
   }
 }
 
-// The load: leafs that stand still for 100 ms in each 2.4 s.
-Test(scatter, a_silent_leaf_is_answered_for_by_another) {
+// Leafs may pause for 100 ms in every 2.4 s.
+Test(scatter, a_call_to_a_silent_leaf_is_hedged) {
   DispatchFixture fixture;
   fixture.leafs.behaviour["s1-0"] = {.silent = true};
   cr_assert(fixture.run("r1", "/query/1").has_value());
@@ -42,8 +42,8 @@
             1);
 }
 
-// One call without an answer is news for all: who comes next doesn't go there.
-Test(scatter, a_leaf_known_to_be_silent_is_passed_over) {
+// One unanswered call marks the leaf as unresponsive for all later requests.
+Test(scatter, a_leaf_known_to_be_silent_gets_no_calls) {
   DispatchFixture fixture;
   fixture.leafs.behaviour["s1-0"] = {.silent = true};
   fixture.run("r1", "/query/1");
@@ -51,7 +51,7 @@
   cr_assert(fixture.leafs.runs["s1-0"].size() == 1);
 }
 
-Test(scatter, with_a_shard_gone_the_rest_is_answered_at_once) {
+Test(scatter, an_unreachable_shard_is_left_out_at_once) {
   DispatchFixture fixture;
   fixture.all_of("s1", {.refuses_dials = true});
   cr_assert(fixture.run("r1", "/query/1").has_value());
@@ -68,8 +68,8 @@
   cr_assert(fixture.merged("r1").missing_shards == 1);
 }
 
-// Guards against two answers of one shard in one merged answer.
-Test(scatter, a_shard_whose_two_leafs_answer_is_in_the_answer_once) {
+// Guards against two answers of one shard in a merged answer.
+Test(scatter, a_hedged_shard_is_in_the_answer_once) {
   DispatchFixture fixture;
   fixture.objective = milliseconds(2000);
   fixture.configure(2);
@@ -85,8 +85,9 @@
   cr_assert(answer.records.size() == DispatchFixture::kShards * 16);
 }
 
-// Guards against a wait for a leaf that counts from before its call has left.
-Test(scatter, a_call_is_not_hedged_for_the_time_that_its_link_took_to_open) {
+// Guards against hedges for calls that have not been sent yet: the wait for a
+// leaf must not count the time spent opening the connection.
+Test(scatter, connection_setup_time_does_not_cause_a_hedge) {
   DispatchFixture fixture;
   fixture.objective = milliseconds(4000);
   fixture.configure(2);
@@ -102,7 +103,7 @@
   cr_assert(dials == static_cast<int>(DispatchFixture::kShards));
 }
 
-Test(scatter, too_few_shards_is_no_answer_and_no_promise) {
+Test(scatter, too_few_shards_is_an_error_with_unknown_execution) {
   DispatchFixture fixture;
   fixture.all_of("s1", {.resets = true});
   fixture.all_of("s2", {.resets = true});
@@ -111,8 +112,8 @@
   cr_assert(outcome.error().execution == Execution::kUnknown);
 }
 
-// Guards against asking leafs for a query that can't be answered.
-Test(scatter, a_query_without_a_chance_is_refused_before_any_leaf_works) {
+// Guards against sending calls for a query that cannot be answered.
+Test(scatter, an_unanswerable_query_is_refused_before_any_call) {
   DispatchFixture fixture;
   for (const char* shard : {"s1", "s2"}) {
     for (int i = 0; i < 3; ++i) {
@@ -126,7 +127,7 @@
   cr_assert(fixture.leafs.times_run("r1") == 0);
 }
 
-Test(scatter, a_failure_is_no_part_of_the_answer) {
+Test(scatter, an_error_response_is_not_merged) {
   DispatchFixture fixture;
   fixture.all_of("s1", {.fails = true});
   cr_assert(fixture.run("r1", "/query/1").has_value());
@@ -135,7 +136,7 @@
   }
 }
 
-// Repeats stay within the share of the service's requests and the burst.
+// The bound is a fraction of the service's requests plus the burst.
 Test(scatter, repeats_stay_within_the_budget) {
   DispatchFixture fixture;
   fixture.objective = milliseconds(40);
@@ -153,8 +154,8 @@
   cr_assert(static_cast<double>(arrivals) <= kRequests + bound);
 }
 
-// Guards against dialling a leaf at once that resets new connections.
-Test(scatter, a_leaf_that_resets_new_connections_is_left_alone_for_a_while) {
+// Guards against redialing at once a leaf that resets new connections.
+Test(scatter, a_leaf_that_resets_new_connections_is_not_redialed_at_once) {
   DispatchFixture fixture;
   fixture.objective = milliseconds(40);
   fixture.configure(2);
--- a/tests/dispatch/typical_latency_test.cc
+++ b/tests/dispatch/typical_latency_test.cc
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-Test(typical_latency, finds_the_median_from_a_bad_first_guess) {
+Test(typical_latency, reaches_the_median_from_a_wrong_initial_value) {
   TypicalLatency typical(milliseconds(100));
   for (int i = 0; i < 200; ++i) {
     typical.record(milliseconds(8), TimePoint());
@@ -16,7 +16,7 @@
   cr_assert(typical.value() < milliseconds(9));
 }
 
-Test(typical_latency, calls_that_a_pause_caught_do_not_move_it) {
+Test(typical_latency, calls_delayed_by_a_pause_do_not_shift_it) {
   TypicalLatency typical(milliseconds(8));
   for (int i = 0; i < 1000; ++i) {
     typical.record(i % 10 == 0 ? milliseconds(100) : milliseconds(7 + i % 3),
@@ -25,7 +25,7 @@
   cr_assert(typical.value() < milliseconds(10));
 }
 
-Test(typical_latency, never_falls_to_nothing) {
+Test(typical_latency, never_falls_to_zero) {
   TypicalLatency typical(milliseconds(8));
   for (int i = 0; i < 1000; ++i) {
     typical.record(Duration::zero(), TimePoint());
@@ -33,7 +33,7 @@
   cr_assert(typical.value() > Duration::zero());
 }
 
-/// Calls of `latency`, one each 10 ms for `span`.
+/// Records calls of `latency`, one every 10 ms for `span`.
 void record(TypicalLatency& typical,
             milliseconds latency,
             std::chrono::seconds span,
@@ -43,7 +43,7 @@
   }
 }
 
-Test(typical_latency, a_burst_of_load_does_not_pass_for_the_work_itself) {
+Test(typical_latency, a_burst_of_load_does_not_change_the_unloaded_latency) {
   TypicalLatency typical(milliseconds(8));
   TimePoint now = Clock::now();
   record(typical, milliseconds(8), std::chrono::seconds(5), now);
@@ -52,7 +52,7 @@
   cr_assert(typical.unloaded() < milliseconds(10));
 }
 
-Test(typical_latency, work_that_has_become_heavier_for_good_is_believed) {
+Test(typical_latency, the_unloaded_latency_follows_a_lasting_change) {
   TypicalLatency typical(milliseconds(8));
   TimePoint now = Clock::now();
   record(typical, milliseconds(8), std::chrono::seconds(5), now);
