--- a/ibismux/dispatch/dispatcher_requests.cc
+++ b/ibismux/dispatch/dispatcher_requests.cc
@@ -74,9 +74,9 @@
                         nullptr);
   }
   const routing::Route& route = *context->route;
-  context->final_at =
+  context->final_deadline =
       std::min(request.deadline, request.received + route.time_limit);
-  if (context->final_at <= Clock::now()) {
+  if (context->final_deadline <= Clock::now()) {
     Error error = make_error(ErrorKind::kDeadlineExceeded, "no time left");
     error.execution = Execution::kNotRun;
     return this->refuse(request, std::move(error), &route);
@@ -152,7 +152,7 @@
     Context context,
     std::shared_ptr<http::CancelToken> caller) {
   QueryDelegate::Query query{context->request, context->table->version(),
-                             context->due, context->final_at};
+                             context->due, context->final_deadline};
   auto delegated = co_await this->delegate->run(std::move(query), caller);
   if (delegated.outcome) {
     const Outcome& outcome = *delegated.outcome;
--- a/ibismux/dispatch/part_call.cc
+++ b/ibismux/dispatch/part_call.cc
@@ -167,7 +167,7 @@
   call->message = this->context->request.message;
   call->request_id = this->context->request.id;
   call->leaf_id = leaf->entry().run.id;
-  call->deadline = this->context->final_at;
+  call->deadline = this->context->final_deadline;
   const std::weak_ptr<PartCall> weak = this->weak_from_this();
   leaf->start(
       {.call = std::move(call),
@@ -293,7 +293,8 @@
 PartCall::ResendResult PartCall::send_again(RepeatCause cause, bool sent) {
   const bool safe =
       this->context->route->is_idempotent() || cause == RepeatCause::kNotRun;
-  if (!safe || !this->may_repeat() || Clock::now() >= this->context->final_at) {
+  if (!safe || !this->may_repeat() ||
+      Clock::now() >= this->context->final_deadline) {
     return ResendResult::kRejected;
   }
   if (!this->context->crashes->may_send()) {
@@ -356,7 +357,7 @@
       .with("detail", detail)
       .with("sends", this->sends)
       .with("at_ms", now - this->context->request.received)
-      .with("left_ms", remaining(this->context->final_at, now))
+      .with("left_ms", remaining(this->context->final_deadline, now))
       .with("usual_ms", this->context->typical->value())
       .with("ratio", leaf.estimate().ratio(now))
       .with("repeats_left", this->group->repeats_left());
--- a/ibismux/dispatch/query_delegate.h
+++ b/ibismux/dispatch/query_delegate.h
@@ -22,8 +22,8 @@
   struct Query {
     CallerRequest request;
     std::uint64_t configuration = 0;
-    TimePoint due;       ///< When its answer should be sent.
-    TimePoint final_at;  ///< The deadline for any answer.
+    TimePoint due;             ///< When its answer should be sent.
+    TimePoint final_deadline;  ///< The deadline for any answer.
   };
 
   struct Delegated {
--- a/ibismux/dispatch/request_context.h
+++ b/ibismux/dispatch/request_context.h
@@ -38,7 +38,7 @@
   std::shared_ptr<const Confirmation> confirmation;
   /// The deadline for any answer: the earlier one of the caller's deadline and
   /// the route's time limit.
-  TimePoint final_at;
+  TimePoint final_deadline;
   /// When the answer should be sent to arrive within the route's objective.
   TimePoint due;
   std::shared_ptr<TypicalLatency>
--- a/ibismux/dispatch/request_end.cc
+++ b/ibismux/dispatch/request_end.cc
@@ -32,7 +32,7 @@
                              : (partial ? "partial" : "ok"))
       .with("took_ms", took)
       .with("objective_ms", Duration(route.objective))
-      .with("left_ms", remaining(context.final_at, now));
+      .with("left_ms", remaining(context.final_deadline, now));
   if (!is_ordinary) {
     line.with("digest", context.digest.text());
   }
--- a/ibismux/dispatch/request_run.cc
+++ b/ibismux/dispatch/request_run.cc
@@ -53,7 +53,7 @@
       groups(std::move(groups)),
       done(std::move(done)),
       timer(loop.get_executor()),
-      wake_time(this->shared_context->final_at) {}
+      wake_time(this->shared_context->final_deadline) {}
 
 void RequestRun::start() {
   // The caller may have disconnected before the run was started: the event loop
@@ -133,8 +133,8 @@
     return Duration::max();
   }
   const bool is_standing = service.queue().standing(now) > kStandingQueueAge;
-  const TimePoint latest =
-      is_standing ? this->shared_context->due : this->shared_context->final_at;
+  const TimePoint latest = is_standing ? this->shared_context->due
+                                       : this->shared_context->final_deadline;
   const Duration work = this->shared_context->typical->unloaded();
   return service.expected_wait(this->shared_context->route->priority, zones) -
          std::max<Duration>(work, latest - now - work);
@@ -204,7 +204,7 @@
   if (this->rearm_if_late(now)) {
     return;
   }
-  this->wake_time = this->shared_context->final_at;
+  this->wake_time = this->shared_context->final_deadline;
   this->hedge_late_parts(now);
   if (!this->ended) {
     this->check_completion(now);
--- a/ibismux/dispatch/request_run.h
+++ b/ibismux/dispatch/request_run.h
@@ -83,7 +83,7 @@
   /// When the answer should be sent, even if shards are still missing.
   [[nodiscard]] TimePoint answer_by() const noexcept;
   [[nodiscard]] bool is_past_deadline(TimePoint now) const noexcept {
-    return now >= this->shared_context->final_at;
+    return now >= this->shared_context->final_deadline;
   }
 
   /// Hedges each part whose leaf takes longer than usual, at most once per
--- a/ibismux/gather/gather_client.cc
+++ b/ibismux/gather/gather_client.cc
@@ -87,10 +87,10 @@
   std::string payload = encode(
       GatherQuery{number, pick->offer, query.configuration, query.request},
       now);
-  asio::co_spawn(
-      this->loop,
-      request(self, pick->member, std::move(payload), query.final_at, handover),
-      asio::detached);
+  asio::co_spawn(this->loop,
+                 request(self, pick->member, std::move(payload),
+                         query.final_deadline, handover),
+                 asio::detached);
   caller->on_cancel([weak = std::weak_ptr(handover)] {
     if (const auto live = weak.lock()) {
       live->caller_gone = true;
@@ -99,7 +99,7 @@
   });
   const Duration share = scaled(query.due - now, kTakenWithinPart);
   const TimePoint taken_by = now + std::min<Duration>(kTakenWithin, share);
-  co_await wait(handover, taken_by, query.final_at);
+  co_await wait(handover, taken_by, query.final_deadline);
   caller->on_cancel([] {});
   this->handovers.erase(number);
   this->choice.on_end(pick->member);
@@ -120,10 +120,10 @@
 
 Task<void> GatherClient::wait(std::shared_ptr<Handover> handover,
                               TimePoint taken_by,
-                              TimePoint final_at) {
+                              TimePoint final_deadline) {
   bool caught_up = false;
   while (!handover->reply && !handover->caller_gone) {
-    const TimePoint until = handover->taken ? final_at : taken_by;
+    const TimePoint until = handover->taken ? final_deadline : taken_by;
     handover->wake.expires_at(until);
     const auto [cancelled] = co_await handover->wake.async_wait(kAwait);
     const TimePoint now = Clock::now();
@@ -202,7 +202,7 @@
       .with("config", query.configuration)
       .with("reason", reason)
       .with("at_ms", now - query.request.received)
-      .with("left_ms", remaining(query.final_at, now));
+      .with("left_ms", remaining(query.final_deadline, now));
 }
 
 }  // namespace ibismux::gather
--- a/ibismux/gather/gather_client.h
+++ b/ibismux/gather/gather_client.h
@@ -68,7 +68,7 @@
   /// which the peer should have confirmed.
   [[nodiscard]] static Task<void> wait(std::shared_ptr<Handover> handover,
                                        TimePoint taken_by,
-                                       TimePoint final_at);
+                                       TimePoint final_deadline);
   [[nodiscard]] Delegated settle(const std::string& member,
                                  std::uint64_t number,
                                  const Query& query,
--- a/tests/gather/gather_exchange_test.cc
+++ b/tests/gather/gather_exchange_test.cc
@@ -98,7 +98,7 @@
     query.request.deadline = Clock::now() + std::chrono::seconds(10);
     query.configuration = configuration;
     query.due = Clock::now() + std::chrono::seconds(8);
-    query.final_at = query.request.deadline;
+    query.final_deadline = query.request.deadline;
     auto token = std::make_shared<http::CancelToken>();
     boost::asio::co_spawn(
         this->loop, this->client->run(std::move(query), token),
