--- a/ibismux/dispatch/dispatcher_requests.cc
+++ b/ibismux/dispatch/dispatcher_requests.cc
@@ -167,8 +167,8 @@
     co_return std::nullopt;
   }
   // Unconfirmed, the peer asks no more than one leaf of each shard.
-  context->attempts_elsewhere = 1;
-  if (context->most_attempts() == 0) {
+  context->peer_attempts = 1;
+  if (context->attempt_limit() == 0) {
     co_return this->refuse(
         context->request,
         make_error(ErrorKind::kOutcomeUnknown,
--- a/ibismux/dispatch/part_call.cc
+++ b/ibismux/dispatch/part_call.cc
@@ -114,7 +114,7 @@
 
 bool PartCall::may_repeat() const noexcept {
   return this->current_state == State::kOpen && !this->abandoned &&
-         this->sends - this->sends_not_run < this->context->most_attempts() &&
+         this->sends - this->sends_not_run < this->context->attempt_limit() &&
          this->sends_not_run < kMaxRefusals;
 }
 
--- a/ibismux/dispatch/request_context.h
+++ b/ibismux/dispatch/request_context.h
@@ -32,7 +32,7 @@
   std::optional<ZoneNames> allowed_zones;
   /// The number of leafs of each shard to which a peer may have sent the
   /// request.
-  std::uint32_t attempts_elsewhere = 0;
+  std::uint32_t peer_attempts = 0;
   /// Set if the request is gathered for a peer; the peer then counts it in its
   /// own metrics.
   std::shared_ptr<const Confirmation> confirmation;
@@ -56,11 +56,11 @@
   }
   /// The maximum number of leafs to which this daemon may send the request or
   /// one shard of it.
-  [[nodiscard]] std::uint32_t most_attempts() const noexcept {
+  [[nodiscard]] std::uint32_t attempt_limit() const noexcept {
     const bool is_unconfirmed =
         this->confirmation && !this->confirmation->given;
     const std::uint32_t by_peer =
-        this->attempts_elsewhere + (is_unconfirmed ? 1 : 0);
+        this->peer_attempts + (is_unconfirmed ? 1 : 0);
     const std::uint32_t allowed = this->route->max_attempts;
     return allowed > by_peer ? allowed - by_peer : 0;
   }
--- a/ibismux/dispatch/request_run.cc
+++ b/ibismux/dispatch/request_run.cc
@@ -256,7 +256,7 @@
 
 void RequestRun::finish(Outcome outcome, bool partial) {
   this->ended = true;
-  if (!outcome && this->shared_context->attempts_elsewhere > 0) {
+  if (!outcome && this->shared_context->peer_attempts > 0) {
     // Whether leafs have run the calls of the peer is unknown here.
     outcome.error().execution = Execution::kUnknown;
   }
