--- a/ibismux/dispatch/query_delegate.h
+++ b/ibismux/dispatch/query_delegate.h
@@ -26,7 +26,7 @@
     TimePoint final_deadline;  ///< The deadline for any answer.
   };
 
-  struct Delegated {
+  struct DelegationResult {
     /// Empty if the query has to be gathered by this daemon. A success holds a
     /// `MergedAnswer`.
     std::optional<Outcome> outcome;
@@ -42,7 +42,7 @@
   /// Has `query` gathered by another daemon. Ends with an outcome of kind
   /// kCancelled soon after the caller has disconnected.
   /// @param caller Its callback is replaced.
-  [[nodiscard]] virtual Task<Delegated> run(
+  [[nodiscard]] virtual Task<DelegationResult> run(
       Query query,
       std::shared_ptr<http::CancelToken> caller) = 0;
 };
--- a/ibismux/gather/gather_client.cc
+++ b/ibismux/gather/gather_client.cc
@@ -72,14 +72,14 @@
   }
 }
 
-Task<dispatch::QueryDelegate::Delegated> GatherClient::run(
+Task<dispatch::QueryDelegate::DelegationResult> GatherClient::run(
     Query query,
     std::shared_ptr<http::CancelToken> caller) {
   const auto self = this->shared_from_this();
   const TimePoint now = Clock::now();
   const auto pick = this->choice.choose(now);
   if (!pick) {
-    co_return Delegated{};
+    co_return DelegationResult{};
   }
   const std::uint64_t number = ++this->last_number;
   auto handover = std::make_shared<Handover>(this->loop);
@@ -139,7 +139,7 @@
   }
 }
 
-dispatch::QueryDelegate::Delegated GatherClient::settle(
+dispatch::QueryDelegate::DelegationResult GatherClient::settle(
     const std::string& member,
     std::uint64_t number,
     const Query& query,
@@ -162,7 +162,7 @@
   return {.outcome = std::nullopt, .may_have_run = true};
 }
 
-dispatch::QueryDelegate::Delegated GatherClient::read(
+dispatch::QueryDelegate::DelegationResult GatherClient::read(
     const std::string& member,
     const Query& query,
     const Handover& handover) {
--- a/ibismux/gather/gather_client.h
+++ b/ibismux/gather/gather_client.h
@@ -43,7 +43,7 @@
   [[nodiscard]] bool is_available(TimePoint now) const override {
     return this->choice.has_choice(now);
   }
-  [[nodiscard]] Task<Delegated> run(
+  [[nodiscard]] Task<DelegationResult> run(
       Query query,
       std::shared_ptr<http::CancelToken> caller) override;
 
@@ -69,13 +69,13 @@
   [[nodiscard]] static Task<void> wait(std::shared_ptr<Handover> handover,
                                        TimePoint taken_by,
                                        TimePoint final_deadline);
-  [[nodiscard]] Delegated settle(const std::string& member,
-                                 std::uint64_t number,
-                                 const Query& query,
-                                 Handover& handover);
-  [[nodiscard]] Delegated read(const std::string& member,
-                               const Query& query,
-                               const Handover& handover);
+  [[nodiscard]] DelegationResult settle(const std::string& member,
+                                        std::uint64_t number,
+                                        const Query& query,
+                                        Handover& handover);
+  [[nodiscard]] DelegationResult read(const std::string& member,
+                                      const Query& query,
+                                      const Handover& handover);
   void on_taken(const Incarnation& from, const std::string& payload);
   void on_offer(const Incarnation& from, const std::string& payload);
   void note(std::string_view event,
--- a/tests/dispatch/gather_for_peer_test.cc
+++ b/tests/dispatch/gather_for_peer_test.cc
@@ -49,11 +49,11 @@
 class LostDelegate : public QueryDelegate {
  public:
   [[nodiscard]] bool is_available(TimePoint) const override { return true; }
-  [[nodiscard]] Task<Delegated> run(
+  [[nodiscard]] Task<DelegationResult> run(
       Query query,
       std::shared_ptr<http::CancelToken>) override {
     this->received_ids.push_back(query.request.id);
-    co_return Delegated{std::nullopt, this->may_have_run};
+    co_return DelegationResult{std::nullopt, this->may_have_run};
   }
   bool may_have_run = true;
   std::vector<std::string> received_ids;
--- a/tests/gather/gather_exchange_test.cc
+++ b/tests/gather/gather_exchange_test.cc
@@ -19,7 +19,7 @@
 namespace {
 
 using std::chrono::milliseconds;
-using Delegated = dispatch::QueryDelegate::Delegated;
+using DelegationResult = dispatch::QueryDelegate::DelegationResult;
 
 /// Answers when told to; remembers what it was asked and what was given up.
 class ManualGatherer : public dispatch::QueryGatherer {
@@ -75,7 +75,7 @@
                                    this->wide_network,
                                    this->gatherer,
                                    this->log);
-  std::map<std::string, Delegated> ended;
+  std::map<std::string, DelegationResult> ended;
 
   Fixture() {
     this->client->start();
@@ -102,13 +102,14 @@
     auto token = std::make_shared<http::CancelToken>();
     boost::asio::co_spawn(
         this->loop, this->client->run(std::move(query), token),
-        [this, id](const std::exception_ptr&, Delegated delegated) {
+        [this, id](const std::exception_ptr&, DelegationResult delegated) {
           this->ended[id] = std::move(delegated);
         });
     return token;
   }
 
-  Delegated& run(const std::string& id, std::uint64_t configuration = 5) {
+  DelegationResult& run(const std::string& id,
+                        std::uint64_t configuration = 5) {
     this->begin(id, configuration);
     cr_assert(this->run_until([&] { return this->ended.contains(id); }));
     return this->ended[id];
@@ -117,7 +118,7 @@
 
 Test(gather_exchange, a_query_is_gathered_by_the_peer_that_offered) {
   Fixture fixture;
-  const Delegated& delegated = fixture.run("q1");
+  const DelegationResult& delegated = fixture.run("q1");
   cr_assert(delegated.outcome.has_value());
   const auto& merged = std::get<dispatch::MergedAnswer>(**delegated.outcome);
   cr_assert(merged.receipts == std::vector<std::string>({"receipt.q1"}));
@@ -126,7 +127,7 @@
 
 Test(gather_exchange, another_configuration_there_means_gathering_here) {
   Fixture fixture;
-  const Delegated& delegated = fixture.run("q1", 6);
+  const DelegationResult& delegated = fixture.run("q1", 6);
   cr_assert(!delegated.outcome.has_value());
   cr_assert(!delegated.may_have_run);
   cr_assert(fixture.gatherer.asked.empty());
@@ -136,7 +137,7 @@
 Test(gather_exchange, a_query_that_is_not_taken_up_is_gathered_here) {
   Fixture fixture;
   fixture.cluster.hold("weak", "wide");
-  const Delegated& delegated = fixture.run("q1");
+  const DelegationResult& delegated = fixture.run("q1");
   cr_assert(!delegated.outcome.has_value());
   cr_assert(delegated.may_have_run);
   cr_assert(!fixture.client->is_available(Clock::now()));
@@ -147,7 +148,7 @@
   Fixture fixture;
   fixture.gatherer.answers = false;
   fixture.cluster.hold("wide", "weak");
-  const Delegated& delegated = fixture.run("q1");
+  const DelegationResult& delegated = fixture.run("q1");
   cr_assert(!delegated.outcome.has_value());
   cr_assert(delegated.may_have_run);
   fixture.cluster.deliver_held("wide", "weak");
