--- a/ibismux/dispatch/dispatcher_requests.cc
+++ b/ibismux/dispatch/dispatcher_requests.cc
@@ -158,7 +158,7 @@
     const Outcome& outcome = *delegated.outcome;
     const bool partial =
         outcome && std::get<MergedAnswer>(*outcome).missing_shards > 0;
-    note_request_end(
+    record_request_end(
         *context, outcome, partial, Clock::now(),
         [](eventlog::Event& line) { line.with("delegated", true); });
     co_return std::move(delegated.outcome);
--- a/ibismux/dispatch/request_end.cc
+++ b/ibismux/dispatch/request_end.cc
@@ -6,7 +6,7 @@
 
 namespace ibismux::dispatch {
 
-void note_request_end(
+void record_request_end(
     const RequestContext& context,
     const Outcome& outcome,
     bool partial,
--- a/ibismux/dispatch/request_end.h
+++ b/ibismux/dispatch/request_end.h
@@ -16,7 +16,7 @@
 /// @param partial Some shards are missing from the answer.
 /// @param add_fields Adds the fields that are specific to how the request was
 /// answered; called only if the event is logged.
-void note_request_end(
+void record_request_end(
     const RequestContext& context,
     const Outcome& outcome,
     bool partial,
--- a/ibismux/dispatch/request_run.cc
+++ b/ibismux/dispatch/request_run.cc
@@ -312,7 +312,7 @@
 }
 
 void RequestRun::log_end(const Outcome& outcome, bool partial) {
-  note_request_end(
+  record_request_end(
       *this->shared_context, outcome, partial, Clock::now(),
       [this](eventlog::Event& line) { this->describe_parts(line); });
 }
