--- a/ibismux/dispatch/answer_timing.cc
+++ b/ibismux/dispatch/answer_timing.cc
@@ -30,7 +30,7 @@
   return received + std::max(due, scaled(objective, kMinShardFraction));
 }
 
-Duration time_to_answer(Duration send_time) noexcept {
+Duration answer_assembly_time(Duration send_time) noexcept {
   return scaled(send_time, kAssemblyFraction);
 }
 
--- a/ibismux/dispatch/answer_timing.h
+++ b/ibismux/dispatch/answer_timing.h
@@ -21,7 +21,7 @@
 ///
 /// @param send_time From the arrival of the query until its last call was
 /// started.
-[[nodiscard]] Duration time_to_answer(Duration send_time) noexcept;
+[[nodiscard]] Duration answer_assembly_time(Duration send_time) noexcept;
 
 }  // namespace ibismux::dispatch
 
--- a/ibismux/dispatch/request_run.cc
+++ b/ibismux/dispatch/request_run.cc
@@ -170,7 +170,7 @@
 }
 
 TimePoint RequestRun::answer_by() const noexcept {
-  return this->shared_context->due - time_to_answer(this->sent_after);
+  return this->shared_context->due - answer_assembly_time(this->sent_after);
 }
 
 void RequestRun::wake_at(TimePoint when) {
--- a/tests/dispatch/answer_timing_test.cc
+++ b/tests/dispatch/answer_timing_test.cc
@@ -49,8 +49,8 @@
 
 // Guards against answers that are late by the time needed to assemble them.
 Test(answer_timing, a_slow_host_starts_assembling_earlier) {
-  cr_assert(time_to_answer(milliseconds(9)) >= milliseconds(1));
-  cr_assert(time_to_answer(std::chrono::microseconds(500)) <=
+  cr_assert(answer_assembly_time(milliseconds(9)) >= milliseconds(1));
+  cr_assert(answer_assembly_time(std::chrono::microseconds(500)) <=
             std::chrono::microseconds(100));
 }
 
