--- a/ibismux/dispatch/part_call.cc
+++ b/ibismux/dispatch/part_call.cc
@@ -320,12 +320,12 @@
   return ResendResult::kSent;
 }
 
-void PartCall::abandon() {
+void PartCall::stop_sending() {
   this->abandoned = true;
   this->leave_queue();
 }
 
-void PartCall::give_up() {
+void PartCall::cancel_calls() {
   this->abandoned = true;
   const auto attempts = this->open_attempts;
   for (const Attempt& attempt : attempts) {
--- a/ibismux/dispatch/part_call.h
+++ b/ibismux/dispatch/part_call.h
@@ -68,10 +68,10 @@
   /// The answer is no longer needed: nothing more is sent. Calls in flight may
   /// still complete, which keeps their connections usable and provides a
   /// latency sample of the leaf.
-  void abandon();
+  void stop_sending();
 
   /// Cancels the calls in flight as well.
-  void give_up();
+  void cancel_calls();
 
   [[nodiscard]] bool has_calls() const noexcept {
     return !this->open_attempts.empty();
--- a/ibismux/dispatch/request_run.cc
+++ b/ibismux/dispatch/request_run.cc
@@ -197,7 +197,7 @@
       return;
     }
     for (const auto& part : this->part_calls) {
-      part->give_up();
+      part->cancel_calls();
     }
     return;
   }
@@ -269,7 +269,7 @@
 void RequestRun::stop_parts() {
   bool calls_left = false;
   for (const auto& part : this->part_calls) {
-    part->abandon();
+    part->stop_sending();
     calls_left = calls_left || part->has_calls();
   }
   // At-most-once calls are not cancelled: it would then be unknown whether the
