--- a/ibismux/dispatch/part_call.cc
+++ b/ibismux/dispatch/part_call.cc
@@ -84,7 +84,7 @@
 
 void PartCall::resume() {
   if (!this->deferred_start || this->current_state != State::kOpen ||
-      this->abandoned || !this->context->crashes->may_send()) {
+      this->stopped || !this->context->crashes->may_send()) {
     return;
   }
   const auto start = std::exchange(this->deferred_start, nullptr);
@@ -113,7 +113,7 @@
 }
 
 bool PartCall::may_repeat() const noexcept {
-  return this->current_state == State::kOpen && !this->abandoned &&
+  return this->current_state == State::kOpen && !this->stopped &&
          this->sends - this->sends_not_run < this->context->attempt_limit() &&
          this->sends_not_run < kMaxRefusals;
 }
@@ -263,7 +263,7 @@
   if (!sent) {
     ++this->sends_not_run;
   }
-  if (this->abandoned) {
+  if (this->stopped) {
     this->finish(State::kFailed);
     return;
   }
@@ -321,12 +321,12 @@
 }
 
 void PartCall::stop_sending() {
-  this->abandoned = true;
+  this->stopped = true;
   this->leave_queue();
 }
 
 void PartCall::cancel_calls() {
-  this->abandoned = true;
+  this->stopped = true;
   const auto attempts = this->open_attempts;
   for (const Attempt& attempt : attempts) {
     attempt.active->give_up();
--- a/ibismux/dispatch/part_call.h
+++ b/ibismux/dispatch/part_call.h
@@ -158,7 +158,7 @@
   std::function<bool()> deferred_start;  ///< Set while it waits for `resume()`.
   State current_state = State::kIdle;
   bool starting = false;
-  bool abandoned = false;
+  bool stopped = false;
   bool hedged = false;
   std::vector<std::shared_ptr<Leaf>> tried_leafs;
   std::vector<Attempt> open_attempts;
