--- a/ibismux/dispatch/part_call.h
+++ b/ibismux/dispatch/part_call.h
@@ -114,7 +114,7 @@
   /// are considered.
   [[nodiscard]] std::shared_ptr<Leaf> choose(bool is_repeat) const;
   [[nodiscard]] bool send_first();
-  /// @return False where it has to wait for room.
+  /// @return False if the part has to wait in the queue.
   [[nodiscard]] bool begin();
   /// @param start See `CallQueue`; not called once the part has ended.
   void wait_for_room(std::function<bool()> start);
@@ -143,7 +143,7 @@
     kRejected,  ///< No leaf can take it, or it is not allowed.
   };
   [[nodiscard]] ResendResult send_again(RepeatCause cause, bool sent);
-  /// @return False where it has to wait for room.
+  /// @return False if the part has to wait in the queue.
   [[nodiscard]] bool send_again_or_fail(RepeatCause cause, bool sent);
   void finish(State state);
   void log_event(std::string_view event,
@@ -154,8 +154,8 @@
   const std::shared_ptr<ServiceGroup> group;
   const std::function<void()> on_change;
 
-  std::optional<CallQueue::Place> place;  ///< Set while it waits in the queue.
-  std::function<bool()> deferred_start;  ///< Set while it waits for `resume()`.
+  std::optional<CallQueue::Place> place;  ///< Set while the part is queued.
+  std::function<bool()> deferred_start;   ///< Set while deferred.
   State current_state = State::kIdle;
   bool starting = false;
   bool stopped = false;
--- a/ibismux/dispatch/request_context.h
+++ b/ibismux/dispatch/request_context.h
@@ -41,8 +41,7 @@
   TimePoint final_deadline;
   /// When the answer should be sent to arrive within the route's objective.
   TimePoint due;
-  std::shared_ptr<TypicalLatency>
-      typical;  ///< Latency of the route's leaf calls.
+  std::shared_ptr<TypicalLatency> typical;  ///< Of the route's leaf calls.
   eventlog::EventLog* log = nullptr;
   DispatchMetrics* metrics = nullptr;
   const DispatchPolicy* policy = nullptr;
--- a/ibismux/dispatch/request_run.cc
+++ b/ibismux/dispatch/request_run.cc
@@ -80,8 +80,8 @@
     }
   });
   // A call that cannot be sent ends before `start()` returns. Completion must
-  // not be checked until all parts are started: those that are not would be
-  // taken for parts that send nothing.
+  // not be checked until all parts are started: the others would be taken for
+  // parts that will never send anything.
   this->starting = true;
   for (const auto& part : this->part_calls) {
     part->start();
--- a/ibismux/dispatch/request_run.h
+++ b/ibismux/dispatch/request_run.h
@@ -37,7 +37,8 @@
   void start();
 
   /// The caller has disconnected. Calls that are about to complete may do so;
-  /// the others are cancelled within `kCallerGoneGrace`.
+  /// the others, unless the request is at-most-once, are cancelled within
+  /// `kCallerGoneGrace`.
   void cancel();
 
  protected:
@@ -112,7 +113,7 @@
   [[nodiscard]] bool rearm_if_late(TimePoint now);
   void on_timer();
   void stop_parts();
-  /// When leafs may be able to take the unanswered parts.
+  /// Returns after what time leafs may be able to take the unanswered parts.
   [[nodiscard]] std::chrono::milliseconds retry_after_unanswered() const;
   void log_end(const Outcome& outcome, bool partial);
   /// Adds the results of the parts to the log event.
