--- a/ibismux/dispatch/dispatcher_requests.cc
+++ b/ibismux/dispatch/dispatcher_requests.cc
@@ -74,9 +74,9 @@
                         nullptr);
   }
   const routing::Route& route = *context->route;
-  context->final_at =
+  context->final_deadline =
       std::min(request.deadline, request.received + route.time_limit);
-  if (context->final_at <= Clock::now()) {
+  if (context->final_deadline <= Clock::now()) {
     Error error = make_error(ErrorKind::kDeadlineExceeded, "no time left");
     error.execution = Execution::kNotRun;
     return this->refuse(request, std::move(error), &route);
@@ -152,13 +152,13 @@
     Context context,
     std::shared_ptr<http::CancelToken> caller) {
   QueryDelegate::Query query{context->request, context->table->version(),
-                             context->due, context->final_at};
+                             context->due, context->final_deadline};
   auto delegated = co_await this->delegate->run(std::move(query), caller);
   if (delegated.outcome) {
     const Outcome& outcome = *delegated.outcome;
     const bool partial =
         outcome && std::get<MergedAnswer>(*outcome).missing_shards > 0;
-    note_request_end(
+    record_request_end(
         *context, outcome, partial, Clock::now(),
         [](eventlog::Event& line) { line.with("delegated", true); });
     co_return std::move(delegated.outcome);
@@ -167,8 +167,8 @@
     co_return std::nullopt;
   }
   // Unconfirmed, the peer asks no more than one leaf of each shard.
-  context->attempts_elsewhere = 1;
-  if (context->most_attempts() == 0) {
+  context->peer_attempts = 1;
+  if (context->attempt_limit() == 0) {
     co_return this->refuse(
         context->request,
         make_error(ErrorKind::kOutcomeUnknown,
--- a/ibismux/dispatch/request_end.cc
+++ b/ibismux/dispatch/request_end.cc
@@ -6,7 +6,7 @@
 
 namespace ibismux::dispatch {
 
-void note_request_end(
+void record_request_end(
     const RequestContext& context,
     const Outcome& outcome,
     bool partial,
@@ -18,9 +18,9 @@
   if (!context.is_for_peer()) {
     context.metrics->request_ended(route.name, error, partial, took);
   }
-  const bool plain = outcome && !partial && took <= route.objective;
+  const bool is_ordinary = outcome && !partial && took <= route.objective;
   eventlog::Event line = context.log->event(
-      plain ? eventlog::Weight::kOrdinary : eventlog::Weight::kFailure,
+      is_ordinary ? eventlog::Weight::kOrdinary : eventlog::Weight::kFailure,
       "request_end");
   if (!line.enabled()) {
     return;
@@ -32,8 +32,8 @@
                              : (partial ? "partial" : "ok"))
       .with("took_ms", took)
       .with("objective_ms", Duration(route.objective))
-      .with("left_ms", remaining(context.final_at, now));
-  if (!plain) {
+      .with("left_ms", remaining(context.final_deadline, now));
+  if (!is_ordinary) {
     line.with("digest", context.digest.text());
   }
   if (context.allowed_zones) {
--- a/ibismux/gather/gather_client.cc
+++ b/ibismux/gather/gather_client.cc
@@ -73,14 +73,14 @@
   }
 }
 
-Task<dispatch::QueryDelegate::Delegated> GatherClient::run(
+Task<dispatch::QueryDelegate::DelegationResult> GatherClient::run(
     Query query,
     std::shared_ptr<http::CancelToken> caller) {
   const auto self = this->shared_from_this();
   const TimePoint now = Clock::now();
   const auto selection = this->selector.select(now);
   if (!selection) {
-    co_return Delegated{};
+    co_return DelegationResult{};
   }
   const std::uint64_t number = ++this->last_number;
   auto pending = std::make_shared<PendingQuery>(this->loop);
@@ -90,7 +90,7 @@
       now);
   asio::co_spawn(this->loop,
                  request(self, selection->member, std::move(payload),
-                         query.final_at, pending),
+                         query.final_deadline, pending),
                  asio::detached);
   caller->on_cancel([weak = std::weak_ptr(pending)] {
     if (const auto live = weak.lock()) {
@@ -102,7 +102,7 @@
       scaled(query.due - now, kConfirmTimeoutFraction);
   const TimePoint confirm_deadline =
       now + std::min<Duration>(kConfirmTimeout, confirm_budget);
-  co_await wait(pending, confirm_deadline, query.final_at);
+  co_await wait(pending, confirm_deadline, query.final_deadline);
   caller->on_cancel([] {});
   this->pending_queries.erase(number);
   this->selector.on_end(selection->member);
@@ -123,10 +123,10 @@
 
 Task<void> GatherClient::wait(std::shared_ptr<PendingQuery> pending,
                               TimePoint confirm_deadline,
-                              TimePoint final_at) {
+                              TimePoint final_deadline) {
   bool has_rechecked = false;
   while (!pending->reply && !pending->caller_gone) {
-    const TimePoint until = pending->taken ? final_at : confirm_deadline;
+    const TimePoint until = pending->taken ? final_deadline : confirm_deadline;
     pending->timer.expires_at(until);
     const auto [cancelled] = co_await pending->timer.async_wait(kAwait);
     const TimePoint now = Clock::now();
@@ -142,7 +142,7 @@
   }
 }
 
-dispatch::QueryDelegate::Delegated GatherClient::finish(
+dispatch::QueryDelegate::DelegationResult GatherClient::finish(
     const std::string& member,
     std::uint64_t number,
     const Query& query,
@@ -166,7 +166,7 @@
   return {.outcome = std::nullopt, .may_have_run = true};
 }
 
-dispatch::QueryDelegate::Delegated GatherClient::read_reply(
+dispatch::QueryDelegate::DelegationResult GatherClient::read_reply(
     const std::string& member,
     const Query& query,
     const PendingQuery& pending) {
@@ -206,7 +206,7 @@
       .with("config", query.configuration)
       .with("reason", reason)
       .with("at_ms", now - query.request.received)
-      .with("left_ms", remaining(query.final_at, now));
+      .with("left_ms", remaining(query.final_deadline, now));
 }
 
 }  // namespace ibismux::gather
--- a/ibismux/gather/gather_client.h
+++ b/ibismux/gather/gather_client.h
@@ -46,7 +46,7 @@
   [[nodiscard]] bool is_available(TimePoint now) const override {
     return this->selector.has_candidate(now);
   }
-  [[nodiscard]] Task<Delegated> run(
+  [[nodiscard]] Task<DelegationResult> run(
       Query query,
       std::shared_ptr<http::CancelToken> caller) override;
 
@@ -69,17 +69,18 @@
       TimePoint deadline,
       std::shared_ptr<PendingQuery> pending);
   /// Waits until the reply arrives, the caller disconnects, or time runs out:
-  /// `confirm_deadline` while the query isn't taken, `final_at` afterwards.
+  /// `confirm_deadline` while the query isn't taken, `final_deadline`
+  /// afterwards.
   [[nodiscard]] static Task<void> wait(std::shared_ptr<PendingQuery> pending,
                                        TimePoint confirm_deadline,
-                                       TimePoint final_at);
-  [[nodiscard]] Delegated finish(const std::string& member,
-                                 std::uint64_t number,
-                                 const Query& query,
-                                 PendingQuery& pending);
-  [[nodiscard]] Delegated read_reply(const std::string& member,
-                                     const Query& query,
-                                     const PendingQuery& pending);
+                                       TimePoint final_deadline);
+  [[nodiscard]] DelegationResult finish(const std::string& member,
+                                        std::uint64_t number,
+                                        const Query& query,
+                                        PendingQuery& pending);
+  [[nodiscard]] DelegationResult read_reply(const std::string& member,
+                                            const Query& query,
+                                            const PendingQuery& pending);
   void on_taken(const Incarnation& from, const std::string& payload);
   void on_offer(const Incarnation& from, const std::string& payload);
   void log_failure(std::string_view event,
--- a/tests/gather/gather_exchange_test.cc
+++ b/tests/gather/gather_exchange_test.cc
@@ -19,7 +19,7 @@
 namespace {
 
 using std::chrono::milliseconds;
-using Delegated = dispatch::QueryDelegate::Delegated;
+using DelegationResult = dispatch::QueryDelegate::DelegationResult;
 
 /// Answers only while `answers` is set; records the requests and cancellations.
 class ManualGatherer : public dispatch::QueryGatherer {
@@ -76,7 +76,7 @@
                                    this->wide_network,
                                    this->gatherer,
                                    this->log);
-  std::map<std::string, Delegated> ended;
+  std::map<std::string, DelegationResult> ended;
 
   Fixture() {
     this->client->start();
@@ -99,17 +99,18 @@
     query.request.deadline = Clock::now() + std::chrono::seconds(10);
     query.configuration = configuration;
     query.due = Clock::now() + std::chrono::seconds(8);
-    query.final_at = query.request.deadline;
+    query.final_deadline = query.request.deadline;
     auto token = std::make_shared<http::CancelToken>();
     boost::asio::co_spawn(
         this->loop, this->client->run(std::move(query), token),
-        [this, id](const std::exception_ptr&, Delegated delegated) {
+        [this, id](const std::exception_ptr&, DelegationResult delegated) {
           this->ended[id] = std::move(delegated);
         });
     return token;
   }
 
-  Delegated& run(const std::string& id, std::uint64_t configuration = 5) {
+  DelegationResult& run(const std::string& id,
+                        std::uint64_t configuration = 5) {
     this->begin(id, configuration);
     cr_assert(this->run_until([&] { return this->ended.contains(id); }));
     return this->ended[id];
@@ -118,7 +119,7 @@
 
 Test(gather_exchange, a_query_is_gathered_by_the_peer_that_offered) {
   Fixture fixture;
-  const Delegated& delegated = fixture.run("q1");
+  const DelegationResult& delegated = fixture.run("q1");
   cr_assert(delegated.outcome.has_value());
   const auto& merged = std::get<dispatch::MergedAnswer>(**delegated.outcome);
   cr_assert(merged.receipts == std::vector<std::string>({"receipt.q1"}));
@@ -127,7 +128,7 @@
 
 Test(gather_exchange, a_query_on_another_configuration_is_refused) {
   Fixture fixture;
-  const Delegated& delegated = fixture.run("q1", 6);
+  const DelegationResult& delegated = fixture.run("q1", 6);
   cr_assert(!delegated.outcome.has_value());
   cr_assert(!delegated.may_have_run);
   cr_assert(fixture.gatherer.asked.empty());
@@ -137,7 +138,7 @@
 Test(gather_exchange, an_unconfirmed_query_is_gathered_locally) {
   Fixture fixture;
   fixture.cluster.hold("weak", "wide");
-  const Delegated& delegated = fixture.run("q1");
+  const DelegationResult& delegated = fixture.run("q1");
   cr_assert(!delegated.outcome.has_value());
   cr_assert(delegated.may_have_run);
   cr_assert(!fixture.client->is_available(Clock::now()));
@@ -149,7 +150,7 @@
   Fixture fixture;
   fixture.gatherer.answers = false;
   fixture.cluster.hold("wide", "weak");
-  const Delegated& delegated = fixture.run("q1");
+  const DelegationResult& delegated = fixture.run("q1");
   cr_assert(!delegated.outcome.has_value());
   cr_assert(delegated.may_have_run);
   fixture.cluster.deliver_held("wide", "weak");
