--- a/ibismux/routing/route.h
+++ b/ibismux/routing/route.h
@@ -17,19 +17,20 @@
   double weight = 1;
 };
 
-/// Where requests of one host and path prefix go, and on what terms.
+/// Target and limits of the requests for one host and path prefix.
 struct Route {
   std::string name;
   std::string host;
   std::string path_prefix;  ///< Begins and ends with a slash.
   Repeatability repeatability = Repeatability::kAtMostOnce;
 
-  /// A request has its final answer by then, whatever its caller allows.
+  /// Upper bound on the time to the final answer, even if the caller's deadline
+  /// is later.
   std::chrono::milliseconds time_limit{0};
-  /// An answer within this time is worth most to the caller.
+  /// Latency objective; later answers are worth less to the caller.
   std::chrono::milliseconds objective{0};
   std::uint32_t priority = 0;  ///< 0 is the most urgent.
-  /// Most leafs that one request, or one shard of it, is sent to.
+  /// Maximum number of leafs that a request, or each of its shards, is sent to.
   std::uint32_t max_attempts = 1;
   /// Regions that requests may be sent to. Empty: all of them.
   std::vector<std::string> allowed_regions;
@@ -37,13 +38,13 @@
   /// @name Target: exactly one of the two is not empty
   /// @{
   std::vector<WeightedService> split;  ///< One entry: no split.
-  std::vector<std::string> shards;     ///< A query over all of these services.
+  std::vector<std::string> shards;     ///< One per shard; a query calls all.
   /// @}
 
   /// @name Queries over shards
   /// @{
   std::size_t top_records = 0;
-  double minimum_coverage = 1;  ///< Share of the shards that must be in.
+  double minimum_coverage = 1;  ///< Share of the shards that must answer.
   /// @}
 
   [[nodiscard]] bool is_scatter() const noexcept {
--- a/ibismux/routing/route_table.cc
+++ b/ibismux/routing/route_table.cc
@@ -38,8 +38,8 @@
   if (hosted == this->by_host.end()) {
     return nullptr;
   }
-  // From the whole path back, one slash at a time: the cost follows the depth
-  // of the path, not the number of routes.
+  // Looks up ever shorter prefixes that end at a slash, so that the cost
+  // depends on the depth of the path and not on the number of routes.
   std::string prefix(path);
   while (!prefix.empty()) {
     if (prefix.back() == '/') {
--- a/ibismux/routing/route_table.h
+++ b/ibismux/routing/route_table.h
@@ -14,19 +14,19 @@
 
 namespace ibismux::routing {
 
-/// What the configuration says of one service.
+/// Configuration of one service.
 struct ServiceSpec {
   std::string name;
   /// Connections that one leaf accepts from all daemons together; 0: unknown.
   std::uint32_t leaf_connections = 0;
   /// How long a leaf is cold after its start.
   std::chrono::milliseconds warmup{0};
-  /// Requests a second that a cold leaf bears from all daemons together; 0: no
-  /// limit is known.
+  /// Requests per second that a cold leaf can handle from all daemons together;
+  /// 0: no known limit.
   double warmup_rate = 0;
 };
 
-/// What callers may send, and how long they may take or rest.
+/// Size limits and timeouts for the connections of callers.
 struct CallerLimits {
   std::size_t header_bytes = 16 * 1024;
   std::size_t body_bytes = 1024 * 1024;
@@ -34,8 +34,9 @@
   std::chrono::milliseconds idle_timeout{60'000};
 };
 
-/// One version of the configuration. Immutable once built; a request keeps the
-/// table that it began with, so that all its shards come from one version.
+/// The routes and services of one version of the configuration. Immutable; a
+/// request keeps the table that it started with, so that all of its shards are
+/// routed by the same version.
 class RouteTable {
  public:
   RouteTable(std::uint64_t version,
@@ -51,14 +52,14 @@
     return this->caller_limits;
   }
 
-  /// The route of `host` with the longest prefix that begins `path`, or null.
+  /// The route of `host` with the longest prefix of `path`, or null.
   /// Thread safe.
-  /// @param host Without a port; its case doesn't matter.
+  /// @param host Without a port; case-insensitive.
   /// @param path Without the query part.
   [[nodiscard]] const Route* find(std::string_view host,
                                   std::string_view path) const;
 
-  /// What is said of `service`, or null. Thread safe.
+  /// The configuration of service `name`, or null. Thread safe.
   [[nodiscard]] const ServiceSpec* service(std::string_view name) const;
 
  private:
@@ -66,7 +67,7 @@
   std::vector<Route> all;
   std::map<std::string, ServiceSpec, std::less<>> services;
   CallerLimits caller_limits;
-  /// Host in lower case, then prefix, to the index in `all`.
+  /// Maps the lower-case host and then the path prefix to the index in `all`.
   std::unordered_map<std::string, std::unordered_map<std::string, std::size_t>>
       by_host;
 };
--- a/ibismux/routing/split_rotation.h
+++ b/ibismux/routing/split_rotation.h
@@ -8,19 +8,20 @@
 
 namespace ibismux::routing {
 
-/// Deals the requests of one route to the services of its split, in proportion
-/// to their weights.
+/// Distributes the requests of one route among the services of its split, in
+/// proportion to their weights.
 ///
-/// Smooth weighted round robin: each run of requests, however short, is as near
-/// to the weights as whole requests can be. Drawn at random, 300 requests would
-/// lie further off than a tenth now and then. Each daemon deals its own
-/// requests; shares that hold at each hold over all.
+/// Uses smooth weighted round robin: over any number of consecutive requests,
+/// the counts are as close to the weights as whole requests allow. A random
+/// choice would sometimes be off by more than a tenth over 300 requests. Each
+/// daemon distributes its own requests; as the shares hold at each daemon, they
+/// hold for the whole fleet.
 ///
 /// Not thread safe.
 class SplitRotation {
  public:
-  /// The next target. Precondition: `split` is not empty. Another split than at
-  /// the last call begins a new rotation.
+  /// Chooses the service of the next request. A split that differs from that of
+  /// the last call starts a new rotation. Precondition: `split` is not empty.
   [[nodiscard]] const std::string& next(
       const std::vector<WeightedService>& split);
 
