--- a/ibismux/reports/leaf_report.cc
+++ b/ibismux/reports/leaf_report.cc
@@ -30,7 +30,7 @@
   }
   std::vector<LeafReport> reports;
   for (const wire::Report& row : message->reports) {
-    // Written so that NaN fails as well.
+    // Negated comparisons, so that NaN is rejected as well.
     if (!(row.samples > 0) || !(row.excess >= 0) || !(row.failures >= 0)) {
       return fail(ErrorKind::kProtocolError, "malformed report of a leaf");
     }
--- a/ibismux/reports/leaf_report.h
+++ b/ibismux/reports/leaf_report.h
@@ -9,21 +9,22 @@
 
 namespace ibismux::reports {
 
-/// What one or more daemons saw of one leaf recently.
+/// Recent latency and failures of one leaf as seen by one or more daemons.
 struct LeafReport {
   directory::LeafRun run;
-  double samples = 0;   ///< Calls that it rests on.
-  double excess = 0;    ///< How many times the usual they took, less one.
-  double failures = 0;  ///< Share of them that failed, 0 to 1.
+  double samples = 0;   ///< Number of calls that it is based on.
+  double excess = 0;    ///< Mean ratio to the usual latency, minus one.
+  double failures = 0;  ///< Share of the calls that failed, 0 to 1.
 
-  /// Slow or failing enough for others to want to know.
+  /// Whether the leaf is slow or failing enough to be reported to peers.
   [[nodiscard]] bool is_notable() const noexcept {
     return this->excess >= kNotableExcess || this->failures >= kNotableFailures;
   }
 
  private:
-  // Single calls vary by a third; half as much again on average over some calls
-  // means a leaf that is worse than its peers.
+  // The latency of single calls varies by a third; a mean that is half above
+  // the usual over several calls means that the leaf is slower than its
+  // replicas.
   static constexpr double kNotableExcess = 0.5;
   static constexpr double kNotableFailures = 0.2;
 };
--- a/ibismux/reports/report_board.cc
+++ b/ibismux/reports/report_board.cc
@@ -7,13 +7,13 @@
 
 namespace {
 
-// Rows that rest on less than this many calls are dropped.
+// Rows that are based on fewer calls are dropped.
 constexpr double kLeastSamples = 0.2;
-// One daemon's calls count as at most this many: a single one that has fallen
-// out with a leaf must not speak for the zone.
+// Limits the weight of a single report, so that one daemon with a problem of
+// its own in reaching a leaf can't outweigh the rest of the zone.
 constexpr double kMostSamples = 8;
-// Longer than any daemon holds a leaf to be slow without a further report of it
-// again.
+// Longer than any daemon considers a leaf slow without receiving a further
+// report of it.
 constexpr std::chrono::seconds kForgottenAfter{120};
 
 }  // namespace
@@ -56,8 +56,9 @@
       notable.push_back(std::move(report));
     }
   }
-  // A leaf that daemons hold to be slow is seldom called. Its row outlives its
-  // last calls, since the next one that finds it well must reach all of them.
+  // A leaf that daemons consider slow is seldom called. Its row is kept beyond
+  // its last calls, because the first report that it has recovered must reach
+  // all of these daemons.
   std::erase_if(this->rows, [now](const auto& entry) {
     const Row& row = entry.second;
     return row.samples < kLeastSamples &&
--- a/ibismux/reports/report_board.h
+++ b/ibismux/reports/report_board.h
@@ -10,19 +10,20 @@
 
 namespace ibismux::reports {
 
-/// What the daemons of a zone saw of leafs, put together.
+/// Aggregates the leaf reports of all daemons of a zone.
 ///
-/// Reports weigh by the calls they rest on, and lose half of their weight each
-/// `kHalfLife`: troubles of leafs come and go within seconds. Not thread safe.
-/// The times given never go back.
+/// Reports are weighted by the number of calls that they are based on, and lose
+/// half of their weight every `kHalfLife`, because leafs become slow and
+/// recover within seconds. Not thread safe. Precondition: the times passed
+/// never decrease.
 class ReportBoard {
  public:
   static constexpr std::chrono::milliseconds kHalfLife{1000};
 
   void take(const LeafReport& report, TimePoint now);
 
-  /// Leafs that are notable now, and those that were said to be and that a
-  /// later call has shown not to be any more.
+  /// Returns the leafs that are notable now, and once each leaf that was
+  /// notable in a summary and that has recovered according to later calls.
   [[nodiscard]] std::vector<LeafReport> summary(TimePoint now);
 
  private:
@@ -32,7 +33,7 @@
     double failure_sum = 0;
     TimePoint updated;
     TimePoint called;   ///< When calls were last reported.
-    bool told = false;  ///< Daemons were last told that it is notable.
+    bool told = false;  ///< Notable when last part of a summary.
 
     void fade(TimePoint now);
   };
--- a/ibismux/reports/report_exchange.cc
+++ b/ibismux/reports/report_exchange.cc
@@ -12,9 +12,9 @@
 
 using peer::MessageKind;
 
-// Reports of half a second are enough to tell a slow leaf from a slow call.
+// The calls of half a second suffice to tell a slow leaf from a slow call.
 constexpr std::chrono::milliseconds kInterval{500};
-// As for updates from the store.
+// The same fan-out as for the distribution of updates from the store.
 constexpr std::size_t kFanOut = 32;
 
 }  // namespace
@@ -70,8 +70,8 @@
 }
 
 void ReportExchange::take(const std::vector<LeafReport>& reports) {
-  // Without a parent this daemon is the hub, and what comes are reports; with
-  // one, it is what the hub sends down.
+  // With a parent, this daemon receives the summaries of the root of the tree.
+  // Without one it is the root, and receives the reports of other daemons.
   if (this->tree.parent()) {
     this->spread(reports);
     return;
--- a/ibismux/reports/report_exchange.h
+++ b/ibismux/reports/report_exchange.h
@@ -16,23 +16,24 @@
 
 namespace ibismux::reports {
 
-/// Sees leafs, and wants to know what others see.
+/// Produces reports of leafs and receives those of other daemons.
 class ReportParty {
  public:
   virtual ~ReportParty() = default;
-  /// What was seen since the last call: leafs that are notable, or that others
-  /// hold to be.
+  /// Returns what was seen since the last call of leafs that are notable, or
+  /// that peers have reported.
   [[nodiscard]] virtual std::vector<LeafReport> take_reports() = 0;
   virtual void on_report(const LeafReport& report) = 0;
 };
 
-/// Puts together what the daemons of a zone see of leafs.
+/// Aggregates and distributes leaf reports among the daemons of a zone.
 ///
-/// A daemon of a large fleet has a call or two a second for each leaf, and
-/// learns that one is slow only after several seconds, each of which spends
-/// repeats; all of its zone together know it within one. Reports go up to the
-/// first daemon of the zone, and what they add up to comes down its tree, both
-/// only while some leaf is notable.
+/// In a large fleet, each daemon makes only one or two calls a second to each
+/// leaf, so on its own it would need several seconds to detect a slow leaf and
+/// spend repeats all that time. All daemons of a zone together detect it within
+/// one second. Daemons send their reports to the first daemon of the zone, the
+/// root of a distribution tree, which sends the aggregated reports down the
+/// tree. Both happen only while some leaf is notable.
 ///
 /// Belongs to one event loop, which is also the network's; not thread safe.
 class ReportExchange : public std::enable_shared_from_this<ReportExchange> {
@@ -43,10 +44,11 @@
                  ReportParty& party,
                  eventlog::EventLog& log);
 
-  /// Registers the handler and begins. Called once, before the network starts.
+  /// Registers the message handler and starts the periodic exchange. To be
+  /// called once, before the network starts.
   void start();
 
-  /// The members have changed.
+  /// Rebuilds the distribution tree after a change of the membership.
   void on_view(const membership::MembershipView& view);
 
  private:
--- a/tests/reports/report_board_test.cc
+++ b/tests/reports/report_board_test.cc
@@ -24,7 +24,7 @@
   cr_assert(summary[0].excess == 2.5);
 }
 
-// Failure: each daemon of a zone finds a slow leaf out for itself.
+// Guards against each daemon of a zone having to detect a slow leaf on its own.
 Test(report_board, a_zone_learns_of_a_slow_leaf_from_one_call_of_each_daemon) {
   ReportBoard board;
   const TimePoint now = Clock::now();
@@ -60,7 +60,7 @@
   cr_assert(board.summary(now).empty());
 }
 
-// Failure: a leaf that is well again stays known as slow.
+// Guards against a recovered leaf that is still considered slow.
 Test(report_board, a_leaf_that_is_tried_after_a_pause_and_is_well_is_told_of) {
   ReportBoard board;
   TimePoint now = Clock::now();
--- a/thrift/reports.thrift
+++ b/thrift/reports.thrift
@@ -1,22 +1,23 @@
-/// How daemons of a zone tell each other how leafs fare.
-/// docs/design/leaf-reports.md says why.
+/// Messages by which the daemons of a zone exchange latency and failures of
+/// leafs. docs/design/leaf-reports.md gives the reasons.
 namespace cpp ibismux.reports.wire
 
-/// What one or more daemons saw of one leaf of late.
+/// Recent latency and failures of one leaf as seen by one or more daemons.
 struct Report {
-  /// Together with `started_ms` the run that was seen.
+  /// Identifies, together with `started_ms`, the run of the leaf.
   1: string leaf_id
-  /// Calls that it rests on.
+  /// Number of calls that it is based on.
   2: double samples
-  /// How many times the usual they took, less one, on average.
+  /// Mean ratio of their latency to the usual one, minus one.
   3: double excess
-  /// Share of them that failed.
+  /// Share of the calls that failed, 0 to 1.
   4: double failures
-  /// When that run of the leaf started, by its own word; 0 where it has none.
+  /// Start time of that run as stated by the leaf; 0 if it states none.
   5: i64 started_ms
 }
 
-/// kLeafReports: up to the zone's hub, and down from it.
+/// Payload of kLeafReports: from the daemons of a zone to the root of its
+/// distribution tree, and from the root down that tree.
 struct Reports {
   1: list<Report> reports
 }
