--- a/ibismux/dispatch/dispatch_metrics.cc
+++ b/ibismux/dispatch/dispatch_metrics.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Seconds; objectives lie between 40 ms and 800 ms.
+/// In seconds. Latency objectives of routes lie between 40 ms and 800 ms.
 const prometheus::Histogram::BucketBoundaries kBounds = {
     0.002, 0.005, 0.01, 0.02, 0.04, 0.06, 0.08, 0.12,
     0.2,   0.4,   0.8,  1.5,  3,    6,    15};
@@ -24,7 +24,7 @@
 
 constexpr std::size_t kFirstRow = kRepeatCauses;
 
-/// The name of a row of `sends`.
+/// The label `cause` of a row of `sends`.
 std::string_view name_of_row(std::size_t row) {
   return row == kFirstRow ? "first" : to_string(static_cast<RepeatCause>(row));
 }
--- a/ibismux/dispatch/dispatch_metrics.h
+++ b/ibismux/dispatch/dispatch_metrics.h
@@ -22,33 +22,35 @@
 
 namespace ibismux::dispatch {
 
-/// Counts and times of requests and of calls to leafs. Not thread safe.
+/// Counters and latency histograms of requests and of calls to leafs. Not
+/// thread safe.
 class DispatchMetrics {
  public:
-  /// @param registry Takes the metrics ibismux_dispatch_*; outlives this.
+  /// @param registry Receives the metrics ibismux_dispatch_*; outlives this.
   explicit DispatchMetrics(prometheus::Registry& registry);
 
-  /// A request of `route` ended. @param error Null where it was answered.
+  /// Counts a finished request of `route`. @param error Null if it succeeded.
   void request_ended(const std::string& route,
                      const Error* error,
                      bool partial,
                      Duration took);
-  /// A call to a leaf ended. @param error Null where the leaf answered.
+  /// Counts a finished call to a leaf. @param error Null if the leaf answered.
   void call_ended(const Error* error, Duration took) noexcept;
-  /// A request is sent to a leaf. @param cause Absent: for the first time.
+  /// Counts a request sent to a leaf. @param cause Absent for the first
+  /// attempt.
   void sent(std::optional<RepeatCause> cause, ZoneExit exit) noexcept;
   void repeated(RepeatCause cause) noexcept;
-  /// A repeat was wanted and the budget had none.
+  /// Counts a repeat that was not sent because the budget was exhausted.
   void repeat_refused(RepeatCause cause) noexcept;
 
-  /// The process of a leaf ended with a call under way.
+  /// Counts a call during which the process of the leaf ended.
   void leaf_ended() noexcept;
 
-  /// A leaf said something of its load that can't be read.
+  /// Counts an answer in which a leaf's load report could not be parsed.
   void load_unreadable() noexcept;
 
-  /// Writes how many calls were sent since the start, and why they left the
-  /// zone, as one line: for who has the log of a daemon and not its metrics.
+  /// Logs the number of calls sent since the start, by cause and zone exit, in
+  /// one line, for readers who have the daemon's log but not its metrics.
   void log_sends(eventlog::EventLog& log) const;
 
  private:
@@ -60,7 +62,7 @@
   prometheus::Counter* leafs_ended;
   std::array<prometheus::Counter*, kRepeatCauses> repeats;
   std::array<prometheus::Counter*, kRepeatCauses> refused_repeats;
-  /// By cause, first sends last, and by exit.
+  /// Indexed by cause, with first attempts last, then by zone exit.
   std::array<std::array<prometheus::Counter*, kZoneExits>, kRepeatCauses + 1>
       sends;
 };
--- a/ibismux/dispatch/dispatch_policy.h
+++ b/ibismux/dispatch/dispatch_policy.h
@@ -3,39 +3,41 @@
 
 namespace ibismux::dispatch {
 
-/// The mechanisms by which calls are placed, each of which can be switched off:
-/// to measure what it is worth on a site, or to live without one that misjudges
-/// a site. All are on by default; docs/design/decisions.md has what each was
-/// worth where.
+/// Switches for the mechanisms that decide when and where calls are sent. Each
+/// can be switched off to measure its effect at a site, or because it makes
+/// wrong decisions there. All are on by default; docs/design/decisions.md lists
+/// the measured effect of each.
 struct DispatchPolicy {
-  /// A call that takes longer than usual is sent to a second leaf.
+  /// Hedges a call that takes longer than usual by sending it to a second leaf.
   bool hedge = true;
-  /// A call that finds its leaf unresponsive has the others there hedged too.
+  /// When a call finds its leaf unresponsive, hedges the other calls running at
+  /// that leaf as well.
   bool share_unresponsive = true;
-  /// Leafs at which calls wait without any answer get no more.
+  /// Avoids sending further calls to leafs whose calls wait without any answer.
   bool avoid_unresponsive = true;
-  /// Leafs of the daemon's own zone are preferred.
+  /// Prefers leafs of the daemon's own zone.
   bool prefer_own_zone = true;
-  /// Daemons of a zone tell each other which leafs are slow or fail.
+  /// Exchanges reports of slow and failing leafs among the daemons of a zone.
   bool zone_reports = true;
-  /// They forget a slow leaf one after the other, not all at once.
+  /// Lets the daemons of a zone forget the reports of a slow leaf one after the
+  /// other instead of all at once.
   bool staggered_memory = true;
-  /// What leafs say of their own load counts, for as long as it is recent.
+  /// Takes recent load reports of the leafs themselves into account.
   bool use_leaf_load = true;
-  /// A leaf that loses calls or can't be dialled is left out for a while.
+  /// Excludes a leaf for a while if it loses calls or can't be connected to.
   bool eject = true;
-  /// How many calls a leaf may have at once follows how long they take.
+  /// Adapts the concurrency limit of a leaf to the latency of its calls.
   bool learn_window = true;
-  /// Requests that queues would make late are refused before they begin.
+  /// Refuses requests at arrival if queueing would make their answers late.
   bool refuse_early = true;
-  /// A query is answered without its last shards once waiting for them would
-  /// make it late.
+  /// Answers a query without its slowest shards once waiting for them would
+  /// make the answer late.
   bool partial_answers = true;
-  /// Links to leafs are opened before calls need them.
+  /// Opens links to leafs before calls need them.
   bool open_ahead = true;
-  /// Queries over many shards are gathered by a peer with a wider link.
+  /// Has queries over many shards gathered by a peer with more bandwidth.
   bool delegate_queries = true;
-  /// A leaf that has just started is taken to be slower.
+  /// Assumes that a leaf that has just started answers more slowly.
   bool weigh_cold = true;
 };
 
--- a/ibismux/dispatch/dispatch_settings.h
+++ b/ibismux/dispatch/dispatch_settings.h
@@ -10,24 +10,26 @@
 
 namespace ibismux::dispatch {
 
-/// How this daemon deals with leafs.
+/// Settings of the dispatcher of this daemon.
 struct DispatchSettings {
   std::string member;  ///< Name of this host.
   std::string zone;    ///< Its availability zone.
   ZoneRegions zone_regions;
 
-  /// Extra arrivals (hedges and retries) at a service, as a share of its first
-  /// arrivals. Shares of all daemons add up to the same share of the whole.
+  /// Repeats (hedges and retries) that may be sent to a service, as a share of
+  /// the first attempts there. As each daemon keeps to this share of its own
+  /// first attempts, the whole fleet keeps to it too.
   double repeat_share = 0.17;
-  /// Extra arrivals that a service bears besides, in some seconds, from all
-  /// daemons together. Each daemon may save up its part of them.
+  /// Repeats beyond that share which a service can handle within a few seconds
+  /// from all daemons together. The burst of each daemon's repeat budget is its
+  /// part of this number.
   double repeat_slack = 50;
 
-  /// Daemons that are assumed until it is known how many there are.
+  /// Number of daemons assumed until the size of the fleet is known.
   std::size_t hosts = 10;
 
-  /// What a leaf of another zone must be better by, in times of what a call
-  /// usually takes: traffic between zones is paid for, and takes longer.
+  /// Penalty on leafs of other zones, in multiples of the usual call latency:
+  /// traffic between zones is charged for and takes longer.
   double remote_cost = 1.0;
 
   DispatchPolicy policy;
--- a/ibismux/dispatch/dispatcher.cc
+++ b/ibismux/dispatch/dispatcher.cc
@@ -12,13 +12,13 @@
 
 namespace {
 
-// A first guess of a route's usual latency, as a part of its objective: what
-// objectives are set to by those who know the work.
+// Initial estimate of a route's usual latency, as a share of its objective. It
+// is the usual ratio for routes whose objective was set by someone who knows
+// the workload.
 constexpr double kFirstGuess = 0.12;
 
 /// Whether a leaf has another address, service or zone than before. Its links,
-/// its place among the replicas and what was measured of it are those of the
-/// former one.
+/// its position among the replicas and its measurements are then invalid.
 bool is_elsewhere(const directory::LeafEntry& before,
                   const directory::LeafEntry& now) noexcept {
   return before.address != now.address || before.port != now.port ||
@@ -152,7 +152,7 @@
   std::vector<Replica> replicas;
   std::vector<Leaf*> granted;
   for (const auto& leaf : group.leafs()) {
-    // Where some replicas are evacuated, the others take their links.
+    // Links of evacuated replicas are distributed among the others.
     if (!leaf->is_evacuated()) {
       replicas.push_back({leaf->entry().zone, spec ? spec->leaf_connections : 0,
                           leaf->entry().slots});
@@ -259,7 +259,8 @@
     group->second->remove(*leaf);
     this->share_links(*group->second);
   }
-  // Last: calls that end by it are sent again, and must not find it.
+  // Last, because calls that this ends are retried and must not choose this
+  // leaf again.
   ((*leaf).*end)();
 }
 
--- a/ibismux/dispatch/dispatcher.h
+++ b/ibismux/dispatch/dispatcher.h
@@ -32,8 +32,8 @@
 
 namespace ibismux::dispatch {
 
-/// Takes callers' requests to leafs, by the configuration and the directory of
-/// leafs as they are now.
+/// Routes callers' requests to leafs according to the active configuration and
+/// the current state of the leaf directory.
 ///
 /// Belongs to one event loop; not thread safe.
 class Dispatcher : public directory::DirectoryListener,
@@ -47,23 +47,25 @@
              prometheus::Registry& registry,
              eventlog::EventLog& log);
 
-  /// Puts a configuration in force for the requests that come from now on.
-  /// @return False, and nothing changes, where it isn't newer than the one in
-  /// force: in one run of a daemon the configuration never goes back.
+  /// Activates a configuration for all requests that arrive from now on.
+  /// @return False, without any effect, if it isn't newer than the active one:
+  /// during one run of a daemon the configuration version never decreases.
   bool put_in_force(std::shared_ptr<const routing::RouteTable> table);
 
-  /// The configuration in force, or null before the first.
+  /// The active configuration, or null before the first one.
   [[nodiscard]] const std::shared_ptr<const routing::RouteTable>& table()
       const noexcept {
     return this->in_force;
   }
 
-  /// Which daemons share what leafs and services bear; the zone is filled in.
+  /// Sets the daemons among which the links and repeats that leafs and services
+  /// allow are divided. Its `zone` is ignored: this daemon's zone is used.
   void set_fleet(LinkSharers fleet);
 
   /// @name Gathering by peers
   /// @{
-  /// Queries over many shards are handed to `delegate` where it is available.
+  /// Sets the delegate that queries over many shards are passed to whenever it
+  /// is available.
   /// @param delegate Outlives the dispatcher's requests.
   void set_delegate(QueryDelegate& delegate) { this->delegate = &delegate; }
   [[nodiscard]] std::uint64_t configuration() const noexcept override {
@@ -75,27 +77,27 @@
       std::shared_ptr<http::CancelToken> cancelled) override;
   /// @}
 
-  /// Replaces the zones whose leafs get no further requests. Calls under way
-  /// there go on; links there are closed. A request that only leafs of such
-  /// zones could serve is refused.
+  /// Replaces the set of evacuated zones, whose leafs get no further requests.
+  /// Calls in progress there continue; links there are closed. A request that
+  /// only leafs of evacuated zones could serve is refused.
   void set_evacuated(ZoneNames zones);
 
-  /// Takes over the budget of repeats, the cost of other zones and the zones'
-  /// regions.
+  /// Applies changes to the repeat budget, the cost of remote zones and the
+  /// regions of zones; all other settings are ignored.
   void update_settings(const DispatchSettings& fresh);
 
-  /// The requests under which leafs have ended.
+  /// Requests during which the processes of leafs have ended.
   [[nodiscard]] quarantine::QuarantineTable& quarantine() noexcept {
     return this->quarantined;
   }
 
-  /// Writes what was sent to leafs so far, and why calls left the zone.
+  /// Logs how many calls were sent to leafs, by cause and by zone exit.
   void log_sends() { this->metrics.log_sends(this->log); }
 
   /// @name DirectoryListener
   /// @{
-  /// Leafs of the first listing are told in one line of the log: a large fleet
-  /// writes some hundred of them at each daemon's start otherwise.
+  /// All leafs of the first listing are logged in one line. One line each would
+  /// be hundreds of lines at every daemon start in a large fleet.
   void on_listing_begin() override;
   void on_listing_end() override;
   void on_leaf(const directory::LeafEntry& entry) override;
@@ -109,8 +111,9 @@
   void on_report(const reports::LeafReport& report) override;
   /// @}
 
-  /// Serves one request; ends by the caller's deadline and the route's limit.
-  /// @param caller Tells when the caller goes.
+  /// Serves one request. Completes by the caller's deadline or the time limit
+  /// of the route, whichever is earlier.
+  /// @param caller Cancelled when the caller disconnects.
   [[nodiscard]] Task<Outcome> handle(CallerRequest request,
                                      std::shared_ptr<http::CancelToken> caller);
 
@@ -123,25 +126,25 @@
   [[nodiscard]] std::vector<std::shared_ptr<ServiceGroup>> targets(
       const routing::Route& route);
   void add_leaf(const directory::LeafEntry& entry);
-  /// @param end How the leaf ends. Precondition: `id` is known.
+  /// @param end Called on the removed leaf. Precondition: `id` is known.
   void drop_leaf(const std::string& id, void (Leaf::*end)());
   void log_leaf(std::string_view event, const directory::LeafEntry& entry);
-  /// Tells of routes that no known zone may serve.
+  /// Logs the routes whose allowed regions contain no known zone.
   void log_routes_without_zones();
   void share_repeats();
   void share_links();
   void share_links(const ServiceGroup& group);
   [[nodiscard]] Duration report_half_life();
 
-  /// What is known of a request at its arrival, or why it is refused.
+  /// Creates the context of a request that has arrived, or refuses it.
   [[nodiscard]] Result<Context> admit(CallerRequest request);
   [[nodiscard]] bool may_delegate(const RequestContext& context) const;
-  /// Has a peer gather the query. @return Nothing where it is to be gathered
-  /// here, with the attempts that `context` then says.
+  /// Has a peer gather the query. @return Nothing if it must be gathered here,
+  /// with no more attempts than `context` then allows.
   [[nodiscard]] Task<std::optional<Outcome>> delegate_query(
       Context context,
       std::shared_ptr<http::CancelToken> caller);
-  /// Serves a request here.
+  /// Serves an admitted request on this daemon.
   [[nodiscard]] Task<Outcome> run(Context context,
                                   std::shared_ptr<http::CancelToken> caller);
   /// Counts and logs a refusal. @return `error`.
--- a/ibismux/dispatch/dispatcher_reports.cc
+++ b/ibismux/dispatch/dispatcher_reports.cc
@@ -1,4 +1,4 @@
-// What the daemons of a zone tell each other of leafs.
+// Exchange of leaf reports with the other daemons of the zone.
 #include <algorithm>
 #include <random>
 
@@ -10,10 +10,10 @@
 
 using std::chrono::milliseconds;
 
-// In which a daemon that is alone in its zone forgets half of what peers
-// reported of a leaf. With more of them each draws longer times, up to this
-// many times as long as there are daemons: the first to forget tries the leaf
-// for all, and what it finds is reported to the others before they would.
+// Half-life of the peers' reports of a leaf at a daemon that is alone in its
+// zone. Otherwise it is multiplied by a random factor between 1 and the number
+// of daemons of the zone: the first daemon whose reports have decayed calls the
+// leaf, and the others receive its report before they would call the leaf too.
 constexpr milliseconds kReportHalfLife{1250};
 
 }  // namespace
@@ -32,7 +32,8 @@
     reports::LeafReport report{leaf->entry().run, seen.samples,
                                seen.excess / seen.samples,
                                seen.failures / seen.samples};
-    // One that peers report to be slow is reported when it is fast again.
+    // A leaf that peers have reported as slow is also reported once it is fast
+    // again.
     if (report.is_notable() || leaf->estimate().has_peer_report(now)) {
       all.push_back(std::move(report));
     }
@@ -42,7 +43,7 @@
 
 void Dispatcher::on_report(const reports::LeafReport& report) {
   const auto known = this->leafs.find(report.run.id);
-  // What an earlier run was like says nothing of this one.
+  // A report of an earlier run of the leaf says nothing about the current run.
   if (this->settings.policy.zone_reports && known != this->leafs.end() &&
       known->second->entry().run == report.run) {
     known->second->estimate().merge_report(
--- a/ibismux/dispatch/dispatcher_requests.cc
+++ b/ibismux/dispatch/dispatcher_requests.cc
@@ -1,5 +1,5 @@
-// The way of a request through the dispatcher: admitted, handed to a peer or
-// run here.
+// Handling of requests by the dispatcher: admission, then delegation to a peer
+// or execution on this daemon.
 
 #include <algorithm>
 #include <boost/asio/async_result.hpp>
@@ -21,14 +21,14 @@
 namespace asio = boost::asio;
 using std::chrono::milliseconds;
 
-// When a caller should come back that met a daemon without configuration: one
-// that starts has it within this time if the store answers.
+// Retry-After for callers of a daemon that has no configuration yet. A starting
+// daemon receives it within this time if the store responds.
 constexpr milliseconds kNotReadyPause{200};
 
-// A query over fewer shards fits the narrowest link.
+// The answers to a query over fewer shards fit into the bandwidth of any host.
 constexpr std::size_t kLeastShardsToDelegate = 8;
-// Of the time until an answer is due: for the way to the peer that gathers it
-// and back, and what both daemons take to pass it on.
+// Subtracted from the time until an answer is due, for the round trip to the
+// peer that gathers it and the forwarding overhead of both daemons.
 constexpr milliseconds kHopAllowance{2};
 
 quarantine::RequestDigest digest_of(const CallerRequest& request) noexcept {
@@ -140,7 +140,7 @@
 }
 
 bool Dispatcher::may_delegate(const RequestContext& context) const {
-  // Peers that gather are hosts of this zone.
+  // Gathering peers are always hosts of this zone.
   const ZoneNames* zones = context.zones();
   return this->delegate && (!zones || zones->contains(this->settings.zone)) &&
          this->settings.policy.delegate_queries &&
@@ -166,7 +166,7 @@
   if (!delegated.may_have_run) {
     co_return std::nullopt;
   }
-  // Unconfirmed, the peer asks no more than one leaf of each shard.
+  // Without a confirmation, the peer calls at most one leaf of each shard.
   context->attempts_elsewhere = 1;
   if (context->most_attempts() == 0) {
     co_return this->refuse(
--- a/ibismux/dispatch/service_group.cc
+++ b/ibismux/dispatch/service_group.cc
@@ -14,18 +14,20 @@
 
 using std::chrono::milliseconds;
 
-// A leaf whose calls have waited this many times the usual without any answer
-// counts as unresponsive. One call in a hundred takes that long by itself.
+// A leaf is unresponsive once its calls have waited for this multiple of the
+// usual latency without any answer. One call in a hundred takes that long at a
+// healthy leaf.
 constexpr double kUnresponsiveAfter = 2.5;
 constexpr milliseconds kLeastPatience{4};
-// An unresponsive leaf is worse than any that answers.
+// Large enough to rank an unresponsive leaf behind every responsive one.
 constexpr int kUnresponsiveCost = 1000;
 
-// A leaf of this zone is at ease while its calls take no more than this many
-// times the usual, no more of them fail than this share, and it has a slot
-// free. It then gets the call, also where one of another zone would answer a
-// little sooner: traffic between zones is paid for. The ratio lies between what
-// hosts differ in speed and what leafs in trouble take.
+// A leaf counts as healthy up to this ratio of its latency to the usual one and
+// up to this share of failed calls. A healthy leaf of this zone with a free
+// slot is chosen even if a leaf of another zone would answer a little sooner,
+// because traffic between zones is charged for. The ratio is larger than the
+// differences in speed between hosts and smaller than the slowdown of an
+// overloaded or failing leaf.
 constexpr double kEaseRatio = 2;
 constexpr double kEaseFailures = 0.1;
 
@@ -38,7 +40,8 @@
   return !zones || zones->contains(leaf.entry().zone);
 }
 
-/// May be given calls that are bound to `zones`; null: to none.
+/// Whether the leaf may be given calls restricted to `zones`; null: to any
+/// zone.
 bool serves(const Leaf& leaf, const ZoneNames* zones) {
   return leaf.in_service() && is_in(zones, leaf);
 }
@@ -58,7 +61,7 @@
       repeats(repeat_burst, repeat_burst / 2) {}
 
 void ServiceGroup::add(std::shared_ptr<Leaf> leaf) {
-  // In one order on all daemons: the plan of links goes by it.
+  // Sorted by id, because plan_links() needs the same order on all daemons.
   const auto place = std::find_if(
       this->members.begin(), this->members.end(), [&leaf](const auto& other) {
         return leaf->entry().run.id < other->entry().run.id;
--- a/ibismux/dispatch/service_group.h
+++ b/ibismux/dispatch/service_group.h
@@ -17,27 +17,28 @@
 
 namespace ibismux::dispatch {
 
-/// What a call asks of a leaf of its service.
+/// What the choice of a leaf for one call depends on.
 struct SelectionCriteria {
-  Duration usual;      ///< What such a call takes at the median leaf.
-  Duration objective;  ///< Within which its caller wants the answer.
-  /// Leafs that have had this request already.
+  Duration usual;      ///< Latency of such a call at the median leaf.
+  Duration objective;  ///< Latency objective of the route.
+  /// Leafs that have already been sent this request; null: none.
   const std::vector<std::shared_ptr<Leaf>>* tried = nullptr;
   /// Zones that the request may be sent to; null: all of them.
   const ZoneNames* zones = nullptr;
-  /// A repeat is worth its cost only at a leaf that will answer soon:
-  /// unresponsive leafs are left out.
+  /// The call is a retry or a hedge. Unresponsive leafs are then excluded, as a
+  /// repeat is worth its cost only at a leaf that will answer soon.
   bool is_repeat = false;
 };
 
-/// The leafs of one service, and what all requests for it share: the choice of
-/// a leaf, the budget of repeats, and the queue for those that find no link.
+/// The leafs of one service and the state that all requests for it share: leaf
+/// selection, the budget of repeats (retries and hedges), and the queue of
+/// calls that wait for a leaf with room.
 ///
 /// Belongs to one event loop; not thread safe.
 class ServiceGroup {
  public:
   /// @param settings Outlives the group.
-  /// @param repeat_burst Repeats that may be saved up.
+  /// @param repeat_burst Most repeats that the budget can hold.
   ServiceGroup(std::string name,
                const DispatchSettings& settings,
                double repeat_burst);
@@ -54,36 +55,37 @@
       const noexcept {
     return this->members;
   }
-  /// Some leaf may take calls, now or once it has room.
-  /// @param zones The zones whose leafs count; null: all of them.
+  /// Whether some leaf may be given calls, now or once it has room.
+  /// @param zones Only leafs of these zones count; null: of all zones.
   /// @param tried Leafs that don't count.
   [[nodiscard]] bool can_serve(
       const ZoneNames* zones = nullptr,
       const std::vector<std::shared_ptr<Leaf>>& tried = {}) const noexcept;
-  /// When to come back where none of `zones` can; null: all of them.
+  /// Time after which callers should retry when no leaf of `zones` can serve
+  /// them; null: of any zone.
   [[nodiscard]] std::chrono::milliseconds retry_after(
       TimePoint now,
       const ZoneNames* zones = nullptr) const;
   /// @}
 
-  /// A leaf of this zone that has room and is at ease; else the leaf with room
-  /// that is expected to answer first, or null. Unresponsive leafs are taken
-  /// only where there are no others.
+  /// Chooses a leaf: a healthy leaf of this zone with a free slot if there is
+  /// one, otherwise the leaf with room and the least expected cost, or null.
+  /// Unresponsive leafs are chosen only if there are no others.
   [[nodiscard]] std::shared_ptr<Leaf> choose(const SelectionCriteria& criteria,
                                              TimePoint now) const;
 
-  /// What kept a call that goes to `chosen` from the leafs of this zone.
+  /// Why a call that is sent to `chosen` doesn't stay in this zone.
   [[nodiscard]] ZoneExit zone_exit(const Leaf& chosen,
                                    const SelectionCriteria& criteria,
                                    TimePoint now) const;
 
   /// @name Budget of repeats
   /// @{
-  /// The first arrival of a request at this service.
+  /// Counts the first attempt of a request, which adds to the budget.
   void count_first() noexcept;
-  /// Replaces how many repeats may be saved up.
+  /// Sets the most repeats that the budget can hold.
   void set_repeat_burst(double most) noexcept { this->repeats.set_burst(most); }
-  /// Takes one repeat. @return False if there is none left.
+  /// Takes one repeat from the budget. @return False if none is left.
   [[nodiscard]] bool take_repeat() noexcept { return this->repeats.take(); }
   [[nodiscard]] double repeats_left() const noexcept {
     return this->repeats.tokens();
@@ -96,37 +98,39 @@
   [[nodiscard]] const CallQueue& queue() const noexcept {
     return this->waiting;
   }
-  /// A leaf has room again, or one came: starts who waits, as far as it goes.
+  /// Starts queued calls while there are leafs with room. To be called when a
+  /// leaf has room again or was added.
   void serve_waiting();
-  /// Looks again when cold leafs may take their next calls. To be called after
-  /// a call has joined the queue.
+  /// Has the queue served again when cold leafs may be given their next calls.
+  /// To be called after a call has joined the queue.
   void await_warmer_leafs();
-  /// A call took this long at its leaf.
+  /// Records how long a call took at its leaf.
   void note_call(Duration took) noexcept { this->call_time.add(took); }
-  /// How long a call of `priority` that comes now would wait for a leaf of
-  /// `zones` (null: of any zone), by how long recent calls took. Zero where
-  /// nobody waits.
+  /// Estimated queueing time of a call of `priority` that arrives now, for a
+  /// leaf of `zones` (null: of any zone), from the duration of recent calls.
+  /// Zero if no call that would be served before it is waiting.
   [[nodiscard]] Duration expected_wait(std::uint32_t priority,
                                        const ZoneNames* zones = nullptr) const;
   /// @}
 
  private:
-  // Half a second's worth of calls on a small site.
+  // The calls of about half a second at a small site.
   static constexpr int kAverageOver = 32;
 
   [[nodiscard]] bool is_own_zone(const Leaf& leaf) const noexcept;
-  /// Why the leaf can't be given the call now; nothing where it can.
+  /// Why the leaf can't be given the call now, or nothing if it can.
   [[nodiscard]] static std::optional<ZoneExit> what_rules_out(
       const Leaf& leaf,
       const SelectionCriteria& criteria);
   [[nodiscard]] bool is_unresponsive(const Leaf& leaf,
                                      const SelectionCriteria& criteria,
                                      TimePoint now) const;
-  /// Answers about as usual, and has a slot free for the call.
+  /// Whether the leaf keeps links, has a free slot for the call, is responsive,
+  /// and its latency and failure share are about as usual.
   [[nodiscard]] bool is_at_ease(const Leaf& leaf,
                                 const SelectionCriteria& criteria,
                                 TimePoint now) const;
-  /// @param only_at_ease_here Looks at leafs at ease of this zone only.
+  /// @param only_healthy_here Considers only healthy leafs of this zone.
   [[nodiscard]] std::shared_ptr<Leaf> cheapest(
       const SelectionCriteria& criteria,
       TimePoint now,
--- a/ibismux/dispatch/zone_exit.h
+++ b/ibismux/dispatch/zone_exit.h
@@ -7,15 +7,17 @@
 
 namespace ibismux::dispatch {
 
-/// Why a call leaves the zone of its daemon: what kept the leaf of that zone
-/// which came closest to being chosen. Traffic between zones is paid for.
+/// Why a call was sent to another zone than that of its daemon. If the leafs of
+/// the daemon's zone were passed over for different reasons, it is the reason
+/// that applied to the leaf closest to being chosen; the values are in that
+/// order. Counted because traffic between zones is charged for.
 enum class ZoneExit : unsigned char {
-  kStays,         ///< It doesn't leave.
-  kNoLeaf,        ///< The zone has none that may be called.
-  kTried,         ///< All of them have the request already.
-  kNoRoom,        ///< As many calls as this daemon lets it have.
-  kUnresponsive,  ///< Calls wait there without any answer.
-  kSlower,        ///< A leaf of another zone answers sooner.
+  kStays,         ///< The call stays in the zone.
+  kNoLeaf,        ///< The zone has no leaf that may be called.
+  kTried,         ///< The leaf has already been sent this request.
+  kNoRoom,        ///< The leaf is at this daemon's concurrency limit.
+  kUnresponsive,  ///< Calls wait at the leaf without any answer.
+  kSlower,        ///< A leaf of another zone should answer sooner.
 };
 
 inline constexpr std::size_t kZoneExits = 6;
