--- a/tests/dispatch/dispatch_fixture.h
+++ b/tests/dispatch/dispatch_fixture.h
@@ -25,9 +25,10 @@
 /// A dispatcher over fake leafs: shards s1 to s4 and a service "desk", three
 /// leafs each, one in each zone. This daemon is in z0.
 ///
-/// Objectives are long, so that no test depends on how fast it runs; a test in
-/// which something is due after a time sets a short one, and waits for it
-/// without an upper bound but the generous limit.
+/// Objectives are long, so that no test depends on the speed of the machine. A
+/// test in which something must happen after some time sets a short objective,
+/// and waits for the event with no upper bound other than the generous
+/// `kLimit`.
 class DispatchFixture {
  public:
   static constexpr std::chrono::seconds kLimit{20};
@@ -54,7 +55,7 @@
     }
   }
 
-  /// Leafs whose process ended are back, as new runs under their ids.
+  /// Restarts the leafs whose process ended, as new runs under their old ids.
   void restart_ended_leafs() {
     for (const std::string& id : this->leafs.revive()) {
       directory::LeafEntry& entry = this->entries.at(id);
@@ -63,7 +64,7 @@
     }
   }
 
-  /// Puts a configuration in force.
+  /// Activates a configuration with this version.
   void configure(std::uint64_t version) {
     routing::Route query;
     query.name = "query";
@@ -98,7 +99,7 @@
         routing::CallerLimits{}));
   }
 
-  /// A request that has just come.
+  /// A request received now.
   [[nodiscard]] CallerRequest request(const std::string& id,
                                       const std::string& path) const {
     CallerRequest request;
@@ -113,7 +114,7 @@
     return request;
   }
 
-  /// Runs a task of the dispatcher; its outcome comes to `outcomes`.
+  /// Starts a task of the dispatcher; its outcome is stored in `outcomes`.
   void spawn(const std::string& id, Task<Outcome> task) {
     boost::asio::co_spawn(
         this->loop, std::move(task),
@@ -122,7 +123,7 @@
         });
   }
 
-  /// Begins a request; its outcome comes to `outcomes`.
+  /// Starts a request; its outcome is stored in `outcomes`.
   std::shared_ptr<http::CancelToken> begin(const std::string& id,
                                            const std::string& path) {
     auto token = std::make_shared<http::CancelToken>();
@@ -134,14 +135,14 @@
     return ibismux::testing::run_until(this->loop, reached);
   }
 
-  /// Runs one request to its end.
+  /// Runs one request to completion.
   Outcome& run(const std::string& id, const std::string& path) {
     this->begin(id, path);
     this->run_until([&] { return this->outcomes.contains(id); });
     return this->outcomes.at(id);
   }
 
-  /// Runs `count` requests to their end, one after the other. @return How many
+  /// Runs `count` requests to completion, one after the other. @return How many
   /// of them were served.
   int run_many(const std::string& path, int count) {
     int served = 0;
@@ -162,14 +163,14 @@
     }
   }
 
-  /// Of all routes, from the next `configure()` on.
+  /// Allowed regions of all routes from the next `configure()` on.
   std::vector<std::string> allowed_regions;
   std::chrono::milliseconds objective{20'000};
   std::chrono::milliseconds time_limit{50'000};
   std::chrono::milliseconds patience{50'000};
 
   boost::asio::io_context loop;
-  int many = 0;  ///< Requests of `run_many()`.
+  int many = 0;  ///< Requests run by `run_many()`.
   prometheus::Registry registry;
   eventlog::EventLog log{this->loop, {.descriptor = -1}};
   FakeLeafs leafs;
@@ -177,7 +178,7 @@
   Dispatcher dispatcher{this->loop, this->leafs, this->settings, this->registry,
                         this->log};
   std::map<std::string, Outcome> outcomes;
-  std::map<std::string, directory::LeafEntry> entries;  ///< By leaf.
+  std::map<std::string, directory::LeafEntry> entries;  ///< By leaf id.
 };
 
 }  // namespace ibismux::dispatch::testing
--- a/tests/dispatch/dispatch_policy_test.cc
+++ b/tests/dispatch/dispatch_policy_test.cc
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-/// With times short enough to wait for.
+/// Uses an objective and timeouts short enough for a test to wait for.
 struct PolicyFixture : DispatchFixture {
   explicit PolicyFixture(const DispatchPolicy& policy)
       : DispatchFixture(policy) {
--- a/tests/dispatch/evacuation_test.cc
+++ b/tests/dispatch/evacuation_test.cc
@@ -81,7 +81,8 @@
   cr_assert(fixture.leafs.dials["desk-0"] == dials);
 }
 
-// Guards against links to the other replicas being withheld while one is out.
+// Guards against links to the remaining replicas being withheld while one
+// replica is evacuated.
 Test(evacuation, other_replicas_take_the_links_of_one_that_is_out) {
   DispatchFixture fixture;
   LinkSharers fleet;
--- a/tests/dispatch/own_zone_test.cc
+++ b/tests/dispatch/own_zone_test.cc
@@ -18,11 +18,11 @@
 constexpr milliseconds kUsual{8};
 constexpr milliseconds kObjective{80};
 
-/// The load that this answers: one daemon of a zone has two fifths of the
-/// callers, and the zone's leaf of each shard is the slowest of three: its
-/// calls take 1.6 times the usual. Of 100 calls on a calm day, 8 left the zone
-/// since a leaf of another one was idle and faster by two milliseconds, of an
-/// objective of 80 ms.
+/// Guards against calls that leave the zone to save very little time. In the
+/// load that showed this, one daemon of a zone had two fifths of the callers,
+/// and the zone's leaf of each shard was the slowest of three, with 1.6 times
+/// the usual latency. Without any faults, 8 of 100 calls left the zone because
+/// an idle leaf of another zone was 2 ms faster, with an objective of 80 ms.
 struct Fixture {
   boost::asio::io_context loop;
   eventlog::EventLog log{this->loop, {.descriptor = -1}};
@@ -51,7 +51,7 @@
 
   [[nodiscard]] Leaf& here() { return *this->group.leafs()[0]; }
 
-  /// Many calls that took `ratio` times the usual.
+  /// Records 30 calls that took `ratio` times the usual latency.
   void answer(Leaf& leaf, double ratio) {
     for (int i = 0; i < 30; ++i) {
       const auto ticket = leaf.estimate().sent(this->now);
@@ -61,7 +61,7 @@
     this->now += kUsual;
   }
 
-  /// Gives the leaf of this zone one more call that doesn't end.
+  /// Starts one more call that doesn't end at the leaf of this zone.
   void occupy() {
     auto call = std::make_shared<LeafCall>();
     call->deadline = TimePoint::max();
