--- a/ibismux/routing/route_table.cc
+++ b/ibismux/routing/route_table.cc
@@ -21,9 +21,11 @@
                        std::vector<Route> routes,
                        std::vector<ServiceSpec> services,
                        CallerLimits limits)
-    : number(version), all(std::move(routes)), caller_limits(limits) {
-  for (std::size_t i = 0; i < this->all.size(); ++i) {
-    const Route& route = this->all[i];
+    : table_version(version),
+      all_routes(std::move(routes)),
+      caller_limits(limits) {
+  for (std::size_t i = 0; i < this->all_routes.size(); ++i) {
+    const Route& route = this->all_routes[i];
     this->by_host[lower_case(route.host)].emplace(route.path_prefix, i);
   }
   for (ServiceSpec& service : services) {
@@ -34,8 +36,8 @@
 
 const Route* RouteTable::find(std::string_view host,
                               std::string_view path) const {
-  const auto hosted = this->by_host.find(lower_case(host));
-  if (hosted == this->by_host.end()) {
+  const auto host_routes = this->by_host.find(lower_case(host));
+  if (host_routes == this->by_host.end()) {
     return nullptr;
   }
   // Looks up ever shorter prefixes that end at a slash, so that the cost
@@ -43,9 +45,9 @@
   std::string prefix(path);
   while (!prefix.empty()) {
     if (prefix.back() == '/') {
-      const auto found = hosted->second.find(prefix);
-      if (found != hosted->second.end()) {
-        return &this->all[found->second];
+      const auto found = host_routes->second.find(prefix);
+      if (found != host_routes->second.end()) {
+        return &this->all_routes[found->second];
       }
     }
     prefix.pop_back();
--- a/ibismux/routing/route_table.h
+++ b/ibismux/routing/route_table.h
@@ -44,9 +44,11 @@
              std::vector<ServiceSpec> services,
              CallerLimits limits);
 
-  [[nodiscard]] std::uint64_t version() const noexcept { return this->number; }
+  [[nodiscard]] std::uint64_t version() const noexcept {
+    return this->table_version;
+  }
   [[nodiscard]] const std::vector<Route>& routes() const noexcept {
-    return this->all;
+    return this->all_routes;
   }
   [[nodiscard]] const CallerLimits& limits() const noexcept {
     return this->caller_limits;
@@ -63,11 +65,12 @@
   [[nodiscard]] const ServiceSpec* service(std::string_view name) const;
 
  private:
-  std::uint64_t number;
-  std::vector<Route> all;
+  std::uint64_t table_version;
+  std::vector<Route> all_routes;
   std::map<std::string, ServiceSpec, std::less<>> services;
   CallerLimits caller_limits;
-  /// Maps the lower-case host and then the path prefix to the index in `all`.
+  /// Maps the lower-case host and then the path prefix to the index in
+  /// `all_routes`.
   std::unordered_map<std::string, std::unordered_map<std::string, std::size_t>>
       by_host;
 };
--- a/ibismux/routing/split_rotation.cc
+++ b/ibismux/routing/split_rotation.cc
@@ -4,31 +4,33 @@
 
 namespace ibismux::routing {
 
-bool SplitRotation::is_for(const std::vector<WeightedService>& split) const {
-  return std::equal(this->parts.begin(), this->parts.end(), split.begin(),
-                    split.end(), [](const Part& part, const auto& target) {
-                      return part.service == target.service &&
-                             part.weight == target.weight;
+bool SplitRotation::matches(const std::vector<WeightedService>& split) const {
+  return std::equal(this->targets.begin(), this->targets.end(), split.begin(),
+                    split.end(), [](const Target& current, const auto& target) {
+                      return current.service == target.service &&
+                             current.weight == target.weight;
                     });
 }
 
 const std::string& SplitRotation::next(
     const std::vector<WeightedService>& split) {
-  if (!this->is_for(split)) {
-    this->parts.clear();
+  if (!this->matches(split)) {
+    this->targets.clear();
     for (const WeightedService& target : split) {
-      this->parts.push_back({target.service, target.weight, 0});
+      this->targets.push_back({target.service, target.weight, 0});
     }
   }
   double total = 0;
-  for (Part& part : this->parts) {
-    part.credit += part.weight;
-    total += part.weight;
+  for (Target& current : this->targets) {
+    current.current_weight += current.weight;
+    total += current.weight;
   }
-  const auto chosen = std::max_element(
-      this->parts.begin(), this->parts.end(),
-      [](const Part& a, const Part& b) { return a.credit < b.credit; });
-  chosen->credit -= total;
+  const auto chosen =
+      std::max_element(this->targets.begin(), this->targets.end(),
+                       [](const Target& a, const Target& b) {
+                         return a.current_weight < b.current_weight;
+                       });
+  chosen->current_weight -= total;
   return chosen->service;
 }
 
--- a/ibismux/routing/split_rotation.h
+++ b/ibismux/routing/split_rotation.h
@@ -26,15 +26,15 @@
       const std::vector<WeightedService>& split);
 
  private:
-  struct Part {
+  struct Target {
     std::string service;
     double weight;
-    double credit;
+    double current_weight;
   };
 
-  [[nodiscard]] bool is_for(const std::vector<WeightedService>& split) const;
+  [[nodiscard]] bool matches(const std::vector<WeightedService>& split) const;
 
-  std::vector<Part> parts;
+  std::vector<Target> targets;
 };
 
 }  // namespace ibismux::routing
