--- a/ibismux/reports/report_board.cc
+++ b/ibismux/reports/report_board.cc
@@ -8,17 +8,17 @@
 namespace {
 
 // Rows that are based on fewer calls are dropped.
-constexpr double kLeastSamples = 0.2;
+constexpr double kMinSamples = 0.2;
 // Limits the weight of a single report, so that one daemon with a problem of
 // its own in reaching a leaf can't outweigh the rest of the zone.
-constexpr double kMostSamples = 8;
+constexpr double kMaxSamplesPerReport = 8;
 // Longer than any daemon considers a leaf slow without receiving a further
 // report of it.
-constexpr std::chrono::seconds kForgottenAfter{120};
+constexpr std::chrono::seconds kRowRetention{120};
 
 }  // namespace
 
-void ReportBoard::Row::fade(TimePoint now) {
+void ReportBoard::Row::decay(TimePoint now) {
   const double half_lives =
       to_seconds(now - this->updated) / to_seconds(kHalfLife);
   const double kept = std::exp2(-half_lives);
@@ -29,14 +29,14 @@
 }
 
 void ReportBoard::take(const LeafReport& report, TimePoint now) {
-  auto [place, fresh] = this->rows.try_emplace(report.run);
+  auto [place, inserted] = this->rows.try_emplace(report.run);
   Row& row = place->second;
-  if (fresh) {
+  if (inserted) {
     row.updated = now;
   }
-  row.fade(now);
-  row.called = now;
-  const double weight = std::min(report.samples, kMostSamples);
+  row.decay(now);
+  row.last_report = now;
+  const double weight = std::min(report.samples, kMaxSamplesPerReport);
   row.samples += weight;
   row.excess_sum += weight * report.excess;
   row.failure_sum += weight * report.failures;
@@ -45,14 +45,14 @@
 std::vector<LeafReport> ReportBoard::summary(TimePoint now) {
   std::vector<LeafReport> notable;
   for (auto& [run, row] : this->rows) {
-    row.fade(now);
-    if (row.samples < kLeastSamples) {
+    row.decay(now);
+    if (row.samples < kMinSamples) {
       continue;
     }
     LeafReport report{run, row.samples, row.excess_sum / row.samples,
                       row.failure_sum / row.samples};
     const bool is_notable = report.is_notable();
-    if (std::exchange(row.told, is_notable) || is_notable) {
+    if (std::exchange(row.reported_notable, is_notable) || is_notable) {
       notable.push_back(std::move(report));
     }
   }
@@ -61,8 +61,8 @@
   // all of these daemons.
   std::erase_if(this->rows, [now](const auto& entry) {
     const Row& row = entry.second;
-    return row.samples < kLeastSamples &&
-           (!row.told || now - row.called > kForgottenAfter);
+    return row.samples < kMinSamples &&
+           (!row.reported_notable || now - row.last_report > kRowRetention);
   });
   return notable;
 }
--- a/ibismux/reports/report_board.h
+++ b/ibismux/reports/report_board.h
@@ -32,10 +32,10 @@
     double excess_sum = 0;
     double failure_sum = 0;
     TimePoint updated;
-    TimePoint called;   ///< When calls were last reported.
-    bool told = false;  ///< Notable when last part of a summary.
+    TimePoint last_report;          ///< When calls were last reported.
+    bool reported_notable = false;  ///< Notable when last part of a summary.
 
-    void fade(TimePoint now);
+    void decay(TimePoint now);
   };
 
   std::map<directory::LeafRun, Row> rows;
--- a/ibismux/reports/report_exchange.cc
+++ b/ibismux/reports/report_exchange.cc
@@ -13,7 +13,7 @@
 using peer::MessageKind;
 
 // The calls of half a second suffice to tell a slow leaf from a slow call.
-constexpr std::chrono::milliseconds kInterval{500};
+constexpr std::chrono::milliseconds kReportInterval{500};
 // The same fan-out as for the distribution of updates from the store.
 constexpr std::size_t kFanOut = 32;
 
@@ -37,21 +37,21 @@
         const auto self = weak.lock();
         const auto reports = decode_reports(payload);
         if (self && reports) {
-          self->take(*reports);
+          self->handle_reports(*reports);
         } else if (self) {
           self->log.event(eventlog::Weight::kBelief, "leaf_reports_refused")
               .with("from", from.member)
               .with("reason", reports.error().message);
         }
       });
-  this->tick();
+  this->exchange_reports();
 }
 
 void ReportExchange::on_view(const membership::MembershipView& view) {
   this->tree.rebuild(view);
 }
 
-void ReportExchange::tick() {
+void ReportExchange::exchange_reports() {
   const std::vector<LeafReport> own = this->party.take_reports();
   if (this->tree.parent()) {
     if (!own.empty()) {
@@ -63,17 +63,18 @@
     for (const LeafReport& report : own) {
       this->board.take(report, now);
     }
-    this->spread(this->board.summary(now));
+    this->distribute(this->board.summary(now));
   }
-  this->timer.expires_after(kInterval);
-  http::await_timer(this->timer, this->weak_from_this(), &ReportExchange::tick);
+  this->timer.expires_after(kReportInterval);
+  http::await_timer(this->timer, this->weak_from_this(),
+                    &ReportExchange::exchange_reports);
 }
 
-void ReportExchange::take(const std::vector<LeafReport>& reports) {
+void ReportExchange::handle_reports(const std::vector<LeafReport>& reports) {
   // With a parent, this daemon receives the summaries of the root of the tree.
   // Without one it is the root, and receives the reports of other daemons.
   if (this->tree.parent()) {
-    this->spread(reports);
+    this->distribute(reports);
     return;
   }
   const TimePoint now = Clock::now();
@@ -82,7 +83,7 @@
   }
 }
 
-void ReportExchange::spread(const std::vector<LeafReport>& reports) {
+void ReportExchange::distribute(const std::vector<LeafReport>& reports) {
   if (reports.empty()) {
     return;
   }
--- a/ibismux/reports/report_exchange.h
+++ b/ibismux/reports/report_exchange.h
@@ -52,9 +52,9 @@
   void on_view(const membership::MembershipView& view);
 
  private:
-  void tick();
-  void take(const std::vector<LeafReport>& reports);
-  void spread(const std::vector<LeafReport>& reports);
+  void exchange_reports();
+  void handle_reports(const std::vector<LeafReport>& reports);
+  void distribute(const std::vector<LeafReport>& reports);
 
   peer::PeerNetwork& network;
   ReportParty& party;
