--- a/ibismux/dispatch/dispatch_metrics.cc
+++ b/ibismux/dispatch/dispatch_metrics.cc
@@ -11,22 +11,23 @@
 namespace {
 
 /// In seconds. Latency objectives of routes lie between 40 ms and 800 ms.
-const prometheus::Histogram::BucketBoundaries kBounds = {
+const prometheus::Histogram::BucketBoundaries kLatencyBounds = {
     0.002, 0.005, 0.01, 0.02, 0.04, 0.06, 0.08, 0.12,
     0.2,   0.4,   0.8,  1.5,  3,    6,    15};
 
-std::string name_of(const Error* error, bool partial) {
+std::string outcome_name(const Error* error, bool partial) {
   if (error) {
     return std::string(error_entry(error->kind).name);
   }
   return partial ? "partial" : "ok";
 }
 
-constexpr std::size_t kFirstRow = kRepeatCauses;
+constexpr std::size_t kFirstAttemptRow = kRepeatCauses;
 
 /// The label `cause` of a row of `sends`.
-std::string_view name_of_row(std::size_t row) {
-  return row == kFirstRow ? "first" : to_string(static_cast<RepeatCause>(row));
+std::string_view row_name(std::size_t row) {
+  return row == kFirstAttemptRow ? "first"
+                                 : to_string(static_cast<RepeatCause>(row));
 }
 
 }  // namespace
@@ -53,7 +54,7 @@
                             .Name("ibismux_dispatch_leaf_call_seconds")
                             .Help("Time from a call to a leaf to its end")
                             .Register(registry)
-                            .Add({}, kBounds);
+                            .Add({}, kLatencyBounds);
   this->leafs_ended = &prometheus::BuildCounter()
                            .Name("ibismux_dispatch_leafs_ended_total")
                            .Help("Calls during which the leaf's process ended.")
@@ -87,7 +88,7 @@
   for (std::size_t row = 0; row < this->sends.size(); ++row) {
     for (std::size_t exit = 0; exit < kZoneExits; ++exit) {
       this->sends[row][exit] = &sends.Add(
-          {{"cause", std::string(name_of_row(row))},
+          {{"cause", std::string(row_name(row))},
            {"zone_exit", std::string(to_string(static_cast<ZoneExit>(exit)))}});
     }
   }
@@ -95,7 +96,8 @@
 
 void DispatchMetrics::sent(std::optional<RepeatCause> cause,
                            ZoneExit exit) noexcept {
-  const std::size_t row = cause ? static_cast<std::size_t>(*cause) : kFirstRow;
+  const std::size_t row =
+      cause ? static_cast<std::size_t>(*cause) : kFirstAttemptRow;
   this->sends[row][static_cast<std::size_t>(exit)]->Increment();
 }
 
@@ -114,7 +116,7 @@
       const auto count =
           static_cast<std::uint64_t>(this->sends[row][exit]->Value());
       if (count > 0) {
-        line.with(std::string(name_of_row(row)) + '.' +
+        line.with(std::string(row_name(row)) + '.' +
                       std::string(to_string(static_cast<ZoneExit>(exit))),
                   count);
       }
@@ -126,9 +128,9 @@
                                     const Error* error,
                                     bool partial,
                                     Duration took) {
-  const std::string outcome = name_of(error, partial);
+  const std::string outcome = outcome_name(error, partial);
   this->requests->Add({{"route", route}, {"outcome", outcome}}).Increment();
-  this->request_seconds->Add({{"route", route}}, kBounds)
+  this->request_seconds->Add({{"route", route}}, kLatencyBounds)
       .Observe(to_seconds(took));
 }
 
--- a/ibismux/dispatch/dispatcher.cc
+++ b/ibismux/dispatch/dispatcher.cc
@@ -15,12 +15,12 @@
 // Initial estimate of a route's usual latency, as a share of its objective. It
 // is the usual ratio for routes whose objective was set by someone who knows
 // the workload.
-constexpr double kFirstGuess = 0.12;
+constexpr double kInitialLatencyShare = 0.12;
 
 /// Whether a leaf has another address, service or zone than before. Its links,
 /// its position among the replicas and its measurements are then invalid.
-bool is_elsewhere(const directory::LeafEntry& before,
-                  const directory::LeafEntry& now) noexcept {
+bool has_moved(const directory::LeafEntry& before,
+               const directory::LeafEntry& now) noexcept {
   return before.address != now.address || before.port != now.port ||
          before.service != now.service || before.zone != now.zone;
 }
@@ -48,16 +48,16 @@
 
 bool Dispatcher::put_in_force(
     std::shared_ptr<const routing::RouteTable> table) {
-  if (this->in_force && table->version() <= this->in_force->version()) {
+  if (this->active_table && table->version() <= this->active_table->version()) {
     return false;
   }
   this->log.event(eventlog::Weight::kBelief, "config_in_force")
       .with("config", table->version())
-      .with("before", this->in_force ? this->in_force->version() : 0)
+      .with("before", this->active_table ? this->active_table->version() : 0)
       .with("routes", table->routes().size());
-  this->in_force = std::move(table);
+  this->active_table = std::move(table);
   std::set<std::string> names;
-  for (const routing::Route& route : this->in_force->routes()) {
+  for (const routing::Route& route : this->active_table->routes()) {
     names.insert(route.name);
   }
   std::erase_if(this->latencies,
@@ -65,20 +65,20 @@
   std::erase_if(this->splits,
                 [&](const auto& row) { return !names.contains(row.first); });
   this->log_routes_without_zones();
-  this->share_links();
+  this->distribute_links();
   return true;
 }
 
 void Dispatcher::log_routes_without_zones() {
-  if (!this->in_force) {
+  if (!this->active_table) {
     return;
   }
-  for (const routing::Route& route : this->in_force->routes()) {
+  for (const routing::Route& route : this->active_table->routes()) {
     if (!route.allowed_regions.empty() &&
         zones_in(this->settings.zone_regions, route.allowed_regions).empty()) {
       this->log.event(eventlog::Weight::kBelief, "route_without_zones")
           .with("route", route.name)
-          .with("config", this->in_force->version())
+          .with("config", this->active_table->version())
           .with("regions", route.allowed_regions.size())
           .with("known_zones", this->settings.zone_regions.size());
     }
@@ -97,8 +97,8 @@
       .with("gathers", fleet.gathers)
       .with("before", this->fleet.hosts);
   this->fleet = std::move(fleet);
-  this->share_links();
-  this->share_repeats();
+  this->distribute_links();
+  this->update_repeat_budgets();
 }
 
 void Dispatcher::set_evacuated(ZoneNames zones) {
@@ -116,52 +116,52 @@
   for (const auto& [id, leaf] : this->leafs) {
     leaf->set_evacuated(this->evacuated.contains(leaf->entry().zone));
   }
-  this->share_links();
+  this->distribute_links();
   for (const auto& [name, group] : this->groups) {
     group->serve_waiting();
   }
 }
 
-void Dispatcher::update_settings(const DispatchSettings& fresh) {
-  this->settings.repeat_share = fresh.repeat_share;
-  this->settings.repeat_slack = fresh.repeat_slack;
-  this->settings.remote_cost = fresh.remote_cost;
-  if (fresh.zone_regions != this->settings.zone_regions) {
-    this->settings.zone_regions = fresh.zone_regions;
+void Dispatcher::update_settings(const DispatchSettings& updated) {
+  this->settings.repeat_share = updated.repeat_share;
+  this->settings.repeat_slack = updated.repeat_slack;
+  this->settings.remote_cost = updated.remote_cost;
+  if (updated.zone_regions != this->settings.zone_regions) {
+    this->settings.zone_regions = updated.zone_regions;
     this->log_routes_without_zones();
   }
-  this->share_repeats();
+  this->update_repeat_budgets();
 }
 
-void Dispatcher::share_repeats() {
+void Dispatcher::update_repeat_budgets() {
   for (const auto& [name, group] : this->groups) {
     group->set_repeat_burst(
         repeat_burst(this->settings.repeat_slack, this->fleet));
   }
 }
 
-void Dispatcher::share_links() {
+void Dispatcher::distribute_links() {
   for (const auto& [name, group] : this->groups) {
-    this->share_links(*group);
+    this->distribute_links(*group);
   }
 }
 
-void Dispatcher::share_links(const ServiceGroup& group) {
+void Dispatcher::distribute_links(const ServiceGroup& group) {
   const routing::ServiceSpec* spec =
-      this->in_force ? this->in_force->service(group.name()) : nullptr;
+      this->active_table ? this->active_table->service(group.name()) : nullptr;
   std::vector<Replica> replicas;
-  std::vector<Leaf*> granted;
+  std::vector<Leaf*> eligible_leafs;
   for (const auto& leaf : group.leafs()) {
     // Links of evacuated replicas are distributed among the others.
     if (!leaf->is_evacuated()) {
       replicas.push_back({leaf->entry().zone, spec ? spec->leaf_connections : 0,
                           leaf->entry().slots});
-      granted.push_back(leaf.get());
+      eligible_leafs.push_back(leaf.get());
     }
   }
   const std::vector<LinkGrant> grants = plan_links(replicas, this->fleet);
   for (std::size_t i = 0; i < grants.size(); ++i) {
-    granted[i]->grant_links(grants[i]);
+    eligible_leafs[i]->grant_links(grants[i]);
   }
   for (const auto& leaf : group.leafs()) {
     const bool is_limited = spec && spec->warmup_rate > 0;
@@ -180,7 +180,7 @@
   if (!std::exchange(this->in_first_listing, false)) {
     return;
   }
-  this->share_links();
+  this->distribute_links();
   if (!this->leafs.empty()) {
     this->log.event(eventlog::Weight::kBelief, "leafs_listed")
         .with("leafs", this->leafs.size())
@@ -204,7 +204,7 @@
     this->log_leaf("leaf_restarted", entry);
     this->drop_leaf(entry.run.id, &Leaf::end_run);
     this->add_leaf(entry);
-  } else if (is_elsewhere(before, entry)) {
+  } else if (has_moved(before, entry)) {
     this->log_leaf("leaf_moved", entry);
     this->drop_leaf(entry.run.id, &Leaf::retire);
     this->add_leaf(entry);
@@ -246,7 +246,7 @@
   this->opener->add(leaf);
   group->add(std::move(leaf));
   if (!this->in_first_listing) {
-    this->share_links(*group);
+    this->distribute_links(*group);
   }
 }
 
@@ -257,7 +257,7 @@
   const auto group = this->groups.find(leaf->entry().service);
   if (group != this->groups.end()) {
     group->second->remove(*leaf);
-    this->share_links(*group->second);
+    this->distribute_links(*group->second);
   }
   // Last, because calls that this ends are retried and must not choose this
   // leaf again.
@@ -288,27 +288,28 @@
   return group;
 }
 
-std::shared_ptr<TypicalLatency> Dispatcher::typical(
+std::shared_ptr<TypicalLatency> Dispatcher::typical_latency(
     const routing::Route& route) {
   auto& typical = this->latencies[route.name];
   if (!typical) {
-    typical =
-        std::make_shared<TypicalLatency>(scaled(route.objective, kFirstGuess));
+    typical = std::make_shared<TypicalLatency>(
+        scaled(route.objective, kInitialLatencyShare));
   }
   return typical;
 }
 
-std::vector<std::shared_ptr<ServiceGroup>> Dispatcher::targets(
+std::vector<std::shared_ptr<ServiceGroup>> Dispatcher::target_groups(
     const routing::Route& route) {
-  std::vector<std::shared_ptr<ServiceGroup>> targets;
+  std::vector<std::shared_ptr<ServiceGroup>> target_groups;
   if (!route.is_scatter()) {
-    targets.push_back(this->group(this->splits[route.name].next(route.split)));
-    return targets;
+    target_groups.push_back(
+        this->group(this->splits[route.name].next(route.split)));
+    return target_groups;
   }
   for (const std::string& shard : route.shards) {
-    targets.push_back(this->group(shard));
+    target_groups.push_back(this->group(shard));
   }
-  return targets;
+  return target_groups;
 }
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/dispatcher.h
+++ b/ibismux/dispatch/dispatcher.h
@@ -55,7 +55,7 @@
   /// The active configuration, or null before the first one.
   [[nodiscard]] const std::shared_ptr<const routing::RouteTable>& table()
       const noexcept {
-    return this->in_force;
+    return this->active_table;
   }
 
   /// Sets the daemons among which the links and repeats that leafs and services
@@ -69,7 +69,7 @@
   /// @param delegate Outlives the dispatcher's requests.
   void set_delegate(QueryDelegate& delegate) { this->delegate = &delegate; }
   [[nodiscard]] std::uint64_t configuration() const noexcept override {
-    return this->in_force ? this->in_force->version() : 0;
+    return this->active_table ? this->active_table->version() : 0;
   }
   [[nodiscard]] Task<Outcome> gather(
       CallerRequest request,
@@ -84,7 +84,7 @@
 
   /// Applies changes to the repeat budget, the cost of remote zones and the
   /// regions of zones; all other settings are ignored.
-  void update_settings(const DispatchSettings& fresh);
+  void update_settings(const DispatchSettings& updated);
 
   /// Requests during which the processes of leafs have ended.
   [[nodiscard]] quarantine::QuarantineTable& quarantine() noexcept {
@@ -121,9 +121,9 @@
   using Context = std::shared_ptr<RequestContext>;
 
   [[nodiscard]] std::shared_ptr<ServiceGroup> group(const std::string& service);
-  [[nodiscard]] std::shared_ptr<TypicalLatency> typical(
+  [[nodiscard]] std::shared_ptr<TypicalLatency> typical_latency(
       const routing::Route& route);
-  [[nodiscard]] std::vector<std::shared_ptr<ServiceGroup>> targets(
+  [[nodiscard]] std::vector<std::shared_ptr<ServiceGroup>> target_groups(
       const routing::Route& route);
   void add_leaf(const directory::LeafEntry& entry);
   /// @param end Called on the removed leaf. Precondition: `id` is known.
@@ -131,9 +131,9 @@
   void log_leaf(std::string_view event, const directory::LeafEntry& entry);
   /// Logs the routes whose allowed regions contain no known zone.
   void log_routes_without_zones();
-  void share_repeats();
-  void share_links();
-  void share_links(const ServiceGroup& group);
+  void update_repeat_budgets();
+  void distribute_links();
+  void distribute_links(const ServiceGroup& group);
   [[nodiscard]] Duration report_half_life();
 
   /// Creates the context of a request that has arrived, or refuses it.
@@ -160,7 +160,7 @@
   eventlog::EventLog& log;
   pcg32 random;
 
-  std::shared_ptr<const routing::RouteTable> in_force;
+  std::shared_ptr<const routing::RouteTable> active_table;
   std::map<std::string, std::shared_ptr<ServiceGroup>> groups;
   std::map<std::string, std::shared_ptr<Leaf>> leafs;  ///< By id.
   quarantine::QuarantineTable quarantined;
--- a/ibismux/dispatch/dispatcher_requests.cc
+++ b/ibismux/dispatch/dispatcher_requests.cc
@@ -23,13 +23,13 @@
 
 // Retry-After for callers of a daemon that has no configuration yet. A starting
 // daemon receives it within this time if the store responds.
-constexpr milliseconds kNotReadyPause{200};
+constexpr milliseconds kNotReadyRetryAfter{200};
 
 // The answers to a query over fewer shards fit into the bandwidth of any host.
-constexpr std::size_t kLeastShardsToDelegate = 8;
+constexpr std::size_t kMinShardsToDelegate = 8;
 // Subtracted from the time until an answer is due, for the round trip to the
 // peer that gathers it and the forwarding overhead of both daemons.
-constexpr milliseconds kHopAllowance{2};
+constexpr milliseconds kDelegationOverhead{2};
 
 quarantine::RequestDigest digest_of(const CallerRequest& request) noexcept {
   return quarantine::RequestDigest({request.message->method, request.host,
@@ -53,7 +53,7 @@
       .with("route", route ? route->name : "")
       .with("caller_host", request.host)
       .with("path", request.path)
-      .with("config", this->in_force ? this->in_force->version() : 0)
+      .with("config", this->active_table ? this->active_table->version() : 0)
       .with("kind", error_entry(error.kind).name)
       .with("message", error.message)
       .with("left_ms", remaining(request.deadline, now));
@@ -61,14 +61,14 @@
 }
 
 Result<Dispatcher::Context> Dispatcher::admit(CallerRequest request) {
-  if (!this->in_force) {
+  if (!this->active_table) {
     Error error = make_error(ErrorKind::kNotReady, "no configuration yet");
-    error.retry_after = kNotReadyPause;
+    error.retry_after = kNotReadyRetryAfter;
     return this->refuse(request, std::move(error), nullptr);
   }
   auto context = std::make_shared<RequestContext>();
-  context->table = this->in_force;
-  context->route = this->in_force->find(request.host, request.path);
+  context->table = this->active_table;
+  context->route = this->active_table->find(request.host, request.path);
   if (!context->route) {
     return this->refuse(request, make_error(ErrorKind::kNotFound, "no route"),
                         nullptr);
@@ -98,7 +98,7 @@
   context->due =
       answer_due(request.received, route.objective, request.opens_connection);
   context->request = std::move(request);
-  context->typical = this->typical(route);
+  context->typical = this->typical_latency(route);
   context->log = &this->log;
   context->metrics = &this->metrics;
   context->policy = &this->settings.policy;
@@ -135,7 +135,7 @@
                            (*context)->route);
   }
   (*context)->confirmation = std::move(confirmation);
-  (*context)->due -= kHopAllowance;
+  (*context)->due -= kDelegationOverhead;
   co_return co_await this->run(*std::move(context), std::move(cancelled));
 }
 
@@ -144,7 +144,7 @@
   const ZoneNames* zones = context.zones();
   return this->delegate && (!zones || zones->contains(this->settings.zone)) &&
          this->settings.policy.delegate_queries &&
-         context.route->shards.size() >= kLeastShardsToDelegate &&
+         context.route->shards.size() >= kMinShardsToDelegate &&
          this->delegate->is_available(Clock::now());
 }
 
@@ -184,7 +184,7 @@
     co_return fail(ErrorKind::kCancelled, "the caller is gone");
   }
   const bool is_scatter = context->route->is_scatter();
-  auto groups = this->targets(*context->route);
+  auto groups = this->target_groups(*context->route);
   auto begin = [&](OutcomeHandler&& handler) {
     auto shared = std::make_shared<OutcomeHandler>(std::move(handler));
     RequestRun::Done done = [shared](Outcome outcome) {
--- a/ibismux/dispatch/service_group.cc
+++ b/ibismux/dispatch/service_group.cc
@@ -17,10 +17,10 @@
 // A leaf is unresponsive once its calls have waited for this multiple of the
 // usual latency without any answer. One call in a hundred takes that long at a
 // healthy leaf.
-constexpr double kUnresponsiveAfter = 2.5;
-constexpr milliseconds kLeastPatience{4};
+constexpr double kUnresponsiveLatencyRatio = 2.5;
+constexpr milliseconds kMinUnresponsiveWait{4};
 // Large enough to rank an unresponsive leaf behind every responsive one.
-constexpr int kUnresponsiveCost = 1000;
+constexpr int kUnresponsiveCostFactor = 1000;
 
 // A leaf counts as healthy up to this ratio of its latency to the usual one and
 // up to this share of failed calls. A healthy leaf of this zone with a free
@@ -28,25 +28,26 @@
 // because traffic between zones is charged for. The ratio is larger than the
 // differences in speed between hosts and smaller than the slowdown of an
 // overloaded or failing leaf.
-constexpr double kEaseRatio = 2;
-constexpr double kEaseFailures = 0.1;
+constexpr double kMaxHealthyLatencyRatio = 2;
+constexpr double kMaxHealthyFailureShare = 0.1;
 
-Duration patience(const SelectionCriteria& criteria) {
-  return std::max<Duration>(kLeastPatience,
-                            scaled(criteria.usual, kUnresponsiveAfter));
+Duration unresponsive_after(const SelectionCriteria& criteria) {
+  return std::max<Duration>(kMinUnresponsiveWait,
+                            scaled(criteria.usual, kUnresponsiveLatencyRatio));
 }
 
-bool is_in(const ZoneNames* zones, const Leaf& leaf) {
+bool is_in_zones(const ZoneNames* zones, const Leaf& leaf) {
   return !zones || zones->contains(leaf.entry().zone);
 }
 
 /// Whether the leaf may be given calls restricted to `zones`; null: to any
 /// zone.
-bool serves(const Leaf& leaf, const ZoneNames* zones) {
-  return leaf.in_service() && is_in(zones, leaf);
+bool is_eligible(const Leaf& leaf, const ZoneNames* zones) {
+  return leaf.in_service() && is_in_zones(zones, leaf);
 }
 
-bool holds(const std::vector<std::shared_ptr<Leaf>>& leafs, const Leaf* leaf) {
+bool includes(const std::vector<std::shared_ptr<Leaf>>& leafs,
+              const Leaf* leaf) {
   return std::any_of(leafs.begin(), leafs.end(),
                      [leaf](const auto& other) { return other.get() == leaf; });
 }
@@ -81,9 +82,9 @@
   const TimePoint now = Clock::now();
   return std::any_of(this->members.begin(), this->members.end(),
                      [&tried, zones, now](const auto& leaf) {
-                       return serves(*leaf, zones) &&
+                       return is_eligible(*leaf, zones) &&
                               !leaf->is_closed_while_cold(now) &&
-                              !holds(tried, leaf.get());
+                              !includes(tried, leaf.get());
                      });
 }
 
@@ -92,7 +93,7 @@
   Duration soonest = Duration::max();
   for (const auto& leaf : this->members) {
     if (!leaf->is_retired() && !leaf->entry().draining &&
-        !leaf->is_evacuated() && is_in(zones, *leaf)) {
+        !leaf->is_evacuated() && is_in_zones(zones, *leaf)) {
       soonest = std::min(soonest, leaf->until_retry(now));
     }
   }
@@ -121,13 +122,13 @@
   return leaf.entry().zone == this->settings.zone;
 }
 
-std::optional<ZoneExit> ServiceGroup::what_rules_out(
+std::optional<ZoneExit> ServiceGroup::exclusion_reason(
     const Leaf& leaf,
     const SelectionCriteria& criteria) {
-  if (!serves(leaf, criteria.zones)) {
+  if (!is_eligible(leaf, criteria.zones)) {
     return ZoneExit::kNoLeaf;
   }
-  if (criteria.tried && holds(*criteria.tried, &leaf)) {
+  if (criteria.tried && includes(*criteria.tried, &leaf)) {
     return ZoneExit::kTried;
   }
   if (!leaf.has_room()) {
@@ -136,10 +137,10 @@
   return std::nullopt;
 }
 
-ZoneExit ServiceGroup::what_keeps_from(const Leaf& leaf,
-                                       const SelectionCriteria& criteria,
-                                       TimePoint now) const {
-  if (const auto ruled_out = what_rules_out(leaf, criteria)) {
+ZoneExit ServiceGroup::zone_exit_due_to(const Leaf& leaf,
+                                        const SelectionCriteria& criteria,
+                                        TimePoint now) const {
+  if (const auto ruled_out = exclusion_reason(leaf, criteria)) {
     return *ruled_out;
   }
   return this->is_unresponsive(leaf, criteria, now) ? ZoneExit::kUnresponsive
@@ -155,7 +156,7 @@
   ZoneExit closest = ZoneExit::kNoLeaf;
   for (const auto& leaf : this->members) {
     if (this->is_own_zone(*leaf)) {
-      closest = std::max(closest, this->what_keeps_from(*leaf, criteria, now));
+      closest = std::max(closest, this->zone_exit_due_to(*leaf, criteria, now));
     }
   }
   return closest;
@@ -165,27 +166,29 @@
                                    const SelectionCriteria& criteria,
                                    TimePoint now) const {
   return this->settings.policy.avoid_unresponsive &&
-         leaf.estimate().is_unresponsive(patience(criteria), now);
+         leaf.estimate().is_unresponsive(unresponsive_after(criteria), now);
 }
 
-bool ServiceGroup::is_at_ease(const Leaf& leaf,
-                              const SelectionCriteria& criteria,
-                              TimePoint now) const {
+bool ServiceGroup::is_healthy_with_free_slot(const Leaf& leaf,
+                                             const SelectionCriteria& criteria,
+                                             TimePoint now) const {
   return leaf.busy() < leaf.entry().slots && leaf.keeps_links() &&
-         leaf.estimate().ratio(now) <= kEaseRatio &&
-         leaf.estimate().failure_share(now) <= kEaseFailures &&
+         leaf.estimate().ratio(now) <= kMaxHealthyLatencyRatio &&
+         leaf.estimate().failure_share(now) <= kMaxHealthyFailureShare &&
          !this->is_unresponsive(leaf, criteria, now);
 }
 
-std::shared_ptr<Leaf> ServiceGroup::cheapest(const SelectionCriteria& criteria,
-                                             TimePoint now,
-                                             bool only_at_ease_here) const {
+std::shared_ptr<Leaf> ServiceGroup::cheapest(
+    const SelectionCriteria& criteria,
+    TimePoint now,
+    bool only_healthy_in_own_zone) const {
   std::shared_ptr<Leaf> best;
   Duration least = Duration::max();
   for (const auto& leaf : this->members) {
-    if (what_rules_out(*leaf, criteria) ||
-        (only_at_ease_here && !(this->is_own_zone(*leaf) &&
-                                this->is_at_ease(*leaf, criteria, now)))) {
+    if (exclusion_reason(*leaf, criteria) ||
+        (only_healthy_in_own_zone &&
+         !(this->is_own_zone(*leaf) &&
+           this->is_healthy_with_free_slot(*leaf, criteria, now)))) {
       continue;
     }
     Duration cost = this->cost(*leaf, criteria, now);
@@ -193,7 +196,7 @@
       if (criteria.is_repeat) {
         continue;
       }
-      cost *= kUnresponsiveCost;
+      cost *= kUnresponsiveCostFactor;
     }
     if (cost < least) {
       least = cost;
@@ -206,8 +209,8 @@
 std::shared_ptr<Leaf> ServiceGroup::choose(const SelectionCriteria& criteria,
                                            TimePoint now) const {
   if (this->settings.policy.prefer_own_zone) {
-    if (auto here = this->cheapest(criteria, now, true)) {
-      return here;
+    if (auto own_zone_leaf = this->cheapest(criteria, now, true)) {
+      return own_zone_leaf;
     }
   }
   return this->cheapest(criteria, now, false);
@@ -242,12 +245,12 @@
   if (ahead == 0) {
     return Duration::zero();
   }
-  std::size_t at_once = 0;
+  std::size_t concurrency = 0;
   for (const auto& leaf : this->members) {
-    at_once += serves(*leaf, zones) ? leaf->most_calls() : 0;
+    concurrency += is_eligible(*leaf, zones) ? leaf->most_calls() : 0;
   }
   return this->call_time.value() * (ahead + 1) /
-         std::max<std::size_t>(1, at_once);
+         std::max<std::size_t>(1, concurrency);
 }
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/service_group.h
+++ b/ibismux/dispatch/service_group.h
@@ -115,11 +115,11 @@
 
  private:
   // The calls of about half a second at a small site.
-  static constexpr int kAverageOver = 32;
+  static constexpr int kAveragedCalls = 32;
 
   [[nodiscard]] bool is_own_zone(const Leaf& leaf) const noexcept;
   /// Why the leaf can't be given the call now, or nothing if it can.
-  [[nodiscard]] static std::optional<ZoneExit> what_rules_out(
+  [[nodiscard]] static std::optional<ZoneExit> exclusion_reason(
       const Leaf& leaf,
       const SelectionCriteria& criteria);
   [[nodiscard]] bool is_unresponsive(const Leaf& leaf,
@@ -127,17 +127,18 @@
                                      TimePoint now) const;
   /// Whether the leaf keeps links, has a free slot for the call, is responsive,
   /// and its latency and failure share are about as usual.
-  [[nodiscard]] bool is_at_ease(const Leaf& leaf,
-                                const SelectionCriteria& criteria,
-                                TimePoint now) const;
-  /// @param only_healthy_here Considers only healthy leafs of this zone.
+  [[nodiscard]] bool is_healthy_with_free_slot(
+      const Leaf& leaf,
+      const SelectionCriteria& criteria,
+      TimePoint now) const;
+  /// @param only_healthy_in_own_zone Considers only healthy leafs of this zone.
   [[nodiscard]] std::shared_ptr<Leaf> cheapest(
       const SelectionCriteria& criteria,
       TimePoint now,
-      bool only_at_ease_here) const;
-  [[nodiscard]] ZoneExit what_keeps_from(const Leaf& leaf,
-                                         const SelectionCriteria& criteria,
-                                         TimePoint now) const;
+      bool only_healthy_in_own_zone) const;
+  [[nodiscard]] ZoneExit zone_exit_due_to(const Leaf& leaf,
+                                          const SelectionCriteria& criteria,
+                                          TimePoint now) const;
   [[nodiscard]] Duration cost(const Leaf& leaf,
                               const SelectionCriteria& criteria,
                               TimePoint now) const;
@@ -147,7 +148,7 @@
   std::vector<std::shared_ptr<Leaf>> members;
   FractionBudget repeats;
   CallQueue waiting;
-  MovingAverage call_time{kAverageOver};  ///< What a call takes.
+  MovingAverage call_time{kAveragedCalls};  ///< Duration of recent calls.
 };
 
 }  // namespace ibismux::dispatch
