--- a/tests/dispatch/dispatch_fixture.h
+++ b/tests/dispatch/dispatch_fixture.h
@@ -147,7 +147,7 @@
   int run_many(const std::string& path, int count) {
     int served = 0;
     for (int i = 0; i < count; ++i) {
-      const std::string id = "many" + std::to_string(++this->many);
+      const std::string id = "many" + std::to_string(++this->run_many_count);
       served += this->run(id, path).has_value() ? 1 : 0;
     }
     return served;
@@ -170,7 +170,7 @@
   std::chrono::milliseconds patience{50'000};
 
   boost::asio::io_context loop;
-  int many = 0;  ///< Requests run by `run_many()`.
+  int run_many_count = 0;  ///< Requests run by `run_many()`.
   prometheus::Registry registry;
   eventlog::EventLog log{this->loop, {.descriptor = -1}};
   FakeLeafs leafs;
--- a/tests/dispatch/dispatch_policy_test.cc
+++ b/tests/dispatch/dispatch_policy_test.cc
@@ -18,14 +18,14 @@
   }
 };
 
-DispatchPolicy without(bool DispatchPolicy::*mechanism) {
+DispatchPolicy policy_without(bool DispatchPolicy::*mechanism) {
   DispatchPolicy policy;
   policy.*mechanism = false;
   return policy;
 }
 
 Test(dispatch_policy, without_hedges_a_call_waits_for_its_leaf) {
-  DispatchPolicy policy = without(&DispatchPolicy::hedge);
+  DispatchPolicy policy = policy_without(&DispatchPolicy::hedge);
   policy.share_unresponsive = false;
   PolicyFixture fixture(policy);
   fixture.leafs.behaviour["desk-0"] = {.silent = true};
@@ -34,7 +34,7 @@
 }
 
 Test(dispatch_policy, without_partial_answers_a_query_waits_for_all_shards) {
-  PolicyFixture fixture(without(&DispatchPolicy::partial_answers));
+  PolicyFixture fixture(policy_without(&DispatchPolicy::partial_answers));
   fixture.all_of("s1", {.silent = true});
   const TimePoint began = Clock::now();
   cr_assert(fixture.run("r1", "/query/1").has_value());
@@ -42,8 +42,8 @@
   cr_assert(Clock::now() - began >= fixture.time_limit);
 }
 
-Test(dispatch_policy, without_a_preferred_zone_calls_go_to_all_leafs) {
-  DispatchFixture fixture(without(&DispatchPolicy::prefer_own_zone));
+Test(dispatch_policy, without_own_zone_preference_calls_go_to_all_leafs) {
+  DispatchFixture fixture(policy_without(&DispatchPolicy::prefer_own_zone));
   fixture.leafs.behaviour["desk-0"] = {.silent = true};
   fixture.begin("r0", "/page/1");
   fixture.run_until([&] { return fixture.leafs.times_run("r0") == 1; });
@@ -52,16 +52,16 @@
   cr_assert(fixture.leafs.runs["desk-0"].size() == 1);
 }
 
-Test(dispatch_policy, without_ejection_a_leaf_is_dialled_again_at_once) {
-  DispatchFixture fixture(without(&DispatchPolicy::eject));
+Test(dispatch_policy, without_ejection_a_leaf_is_reconnected_to_at_once) {
+  DispatchFixture fixture(policy_without(&DispatchPolicy::eject));
   fixture.leafs.behaviour["desk-0"] = {.refuses_dials = true};
   cr_assert(fixture.run("r1", "/page/1").has_value());
   cr_assert(fixture.run("r2", "/page/1").has_value());
   cr_assert(fixture.leafs.dials["desk-0"] == 2);
 }
 
-Test(dispatch_policy, without_reports_of_the_zone_they_change_nothing) {
-  DispatchFixture fixture(without(&DispatchPolicy::zone_reports));
+Test(dispatch_policy, without_zone_reports_a_report_has_no_effect) {
+  DispatchFixture fixture(policy_without(&DispatchPolicy::zone_reports));
   fixture.dispatcher.on_report(
       {.run = {"desk-0"}, .samples = 50, .excess = 20, .failures = 1});
   cr_assert(fixture.run("r1", "/page/1").has_value());
--- a/tests/dispatch/evacuation_test.cc
+++ b/tests/dispatch/evacuation_test.cc
@@ -13,7 +13,7 @@
   return runs;
 }
 
-Test(evacuation, leafs_of_an_evacuated_zone_get_nothing) {
+Test(evacuation, leafs_of_an_evacuated_zone_get_no_calls) {
   DispatchFixture fixture;
   cr_assert(fixture.run_many("/query/", 3) == 3);
   const std::size_t before = runs_in_own_zone(fixture);
@@ -24,7 +24,7 @@
   cr_assert(runs_in_own_zone(fixture) == before);
 }
 
-Test(evacuation, a_leaf_that_comes_to_an_evacuated_zone_gets_nothing) {
+Test(evacuation, a_leaf_added_to_an_evacuated_zone_gets_no_calls) {
   DispatchFixture fixture;
   fixture.dispatcher.set_evacuated({"z0"});
   directory::LeafEntry entry;
@@ -37,7 +37,7 @@
   cr_assert(runs_in_own_zone(fixture) == 0);
 }
 
-Test(evacuation, calls_under_way_end_there) {
+Test(evacuation, calls_in_progress_end_at_their_leaf) {
   DispatchFixture fixture;
   fixture.leafs.behaviour["desk-0"].work = std::chrono::milliseconds(20);
   fixture.begin("o1", "/order/");
@@ -49,7 +49,7 @@
   cr_assert(fixture.leafs.times_run("o1") == 1);
 }
 
-Test(evacuation, with_all_zones_out_requests_are_refused_at_once) {
+Test(evacuation, requests_are_refused_at_once_if_all_zones_are_evacuated) {
   DispatchFixture fixture;
   fixture.dispatcher.set_evacuated({"z0", "z1", "z2"});
   for (const char* path : {"/query/", "/page/", "/order/"}) {
@@ -61,7 +61,7 @@
   cr_assert(fixture.leafs.runs.empty());
 }
 
-Test(evacuation, traffic_returns_when_the_zone_is_back) {
+Test(evacuation, traffic_returns_when_the_evacuation_ends) {
   DispatchFixture fixture;
   fixture.dispatcher.set_evacuated({"z0"});
   cr_assert(fixture.run_many("/page/", 3) == 3);
@@ -70,7 +70,7 @@
   cr_assert(runs_in_own_zone(fixture) == 3);
 }
 
-Test(evacuation, a_leaf_replaced_while_its_zone_was_out_keeps_no_links) {
+Test(evacuation, a_leaf_replaced_during_the_evacuation_keeps_no_links) {
   DispatchFixture fixture;
   fixture.leafs.behaviour["desk-0"].replaced = true;
   cr_assert(fixture.run_many("/page/", 1) == 1);
@@ -83,7 +83,7 @@
 
 // Guards against links to the remaining replicas being withheld while one
 // replica is evacuated.
-Test(evacuation, other_replicas_take_the_links_of_one_that_is_out) {
+Test(evacuation, other_replicas_take_the_links_of_an_evacuated_one) {
   DispatchFixture fixture;
   LinkSharers fleet;
   fleet.hosts = 60;
--- a/tests/dispatch/own_zone_test.cc
+++ b/tests/dispatch/own_zone_test.cc
@@ -44,15 +44,15 @@
       leaf->grant_links({.most = 3, .keep = true});
       this->group.add(std::move(leaf));
     }
-    this->answer(this->here(), 1.6);
-    this->answer(*this->group.leafs()[1], 0.8);
-    this->answer(*this->group.leafs()[2], 1.0);
+    this->record_calls(this->own_zone_leaf(), 1.6);
+    this->record_calls(*this->group.leafs()[1], 0.8);
+    this->record_calls(*this->group.leafs()[2], 1.0);
   }
 
-  [[nodiscard]] Leaf& here() { return *this->group.leafs()[0]; }
+  [[nodiscard]] Leaf& own_zone_leaf() { return *this->group.leafs()[0]; }
 
   /// Records 30 calls that took `ratio` times the usual latency.
-  void answer(Leaf& leaf, double ratio) {
+  void record_calls(Leaf& leaf, double ratio) {
     for (int i = 0; i < 30; ++i) {
       const auto ticket = leaf.estimate().sent(this->now);
       leaf.estimate().answered(ticket, kUsual,
@@ -66,12 +66,12 @@
     auto call = std::make_shared<LeafCall>();
     call->deadline = TimePoint::max();
     this->calls.push_back(std::make_shared<ActiveCall>());
-    this->here().start({.call = std::move(call),
-                        .active = this->calls.back(),
-                        .usual = kUsual,
-                        .unloaded = kUsual,
-                        .on_unresponsive = [] {},
-                        .on_end = [](const CallEnd&) {}});
+    this->own_zone_leaf().start({.call = std::move(call),
+                                 .active = this->calls.back(),
+                                 .usual = kUsual,
+                                 .unloaded = kUsual,
+                                 .on_unresponsive = [] {},
+                                 .on_end = [](const CallEnd&) {}});
   }
 
   [[nodiscard]] std::string chosen() const {
@@ -95,21 +95,21 @@
   cr_assert(fixture.chosen() == "s1-1");
 }
 
-Test(own_zone, a_leaf_in_trouble_loses_the_calls_of_its_zone) {
+Test(own_zone, a_slow_or_failing_leaf_loses_the_calls_of_its_zone) {
   Fixture slow;
-  slow.answer(slow.here(), 4);
+  slow.record_calls(slow.own_zone_leaf(), 4);
   cr_assert(slow.chosen() == "s1-1");
   Fixture failing;
   for (int i = 0; i < 10; ++i) {
-    failing.here().estimate().failed(
-        failing.here().estimate().sent(failing.now), failing.now);
+    failing.own_zone_leaf().estimate().failed(
+        failing.own_zone_leaf().estimate().sent(failing.now), failing.now);
   }
   cr_assert(failing.chosen() == "s1-1");
 }
 
-Test(own_zone, an_unresponsive_leaf_loses_them_at_once) {
+Test(own_zone, an_unresponsive_leaf_loses_the_calls_of_its_zone_at_once) {
   Fixture fixture;
-  (void)fixture.here().estimate().sent(fixture.now);
+  (void)fixture.own_zone_leaf().estimate().sent(fixture.now);
   fixture.now += kUsual * 3;
   cr_assert(fixture.chosen() == "s1-1");
 }
--- a/tests/reports/report_board_test.cc
+++ b/tests/reports/report_board_test.cc
@@ -13,7 +13,7 @@
   return {{"leaf"}, samples, excess, failures};
 }
 
-Test(report_board, reports_weigh_by_their_calls) {
+Test(report_board, reports_are_weighted_by_number_of_calls) {
   ReportBoard board;
   const TimePoint now = Clock::now();
   board.take(report(1, 4), now);
@@ -25,7 +25,7 @@
 }
 
 // Guards against each daemon of a zone having to detect a slow leaf on its own.
-Test(report_board, a_zone_learns_of_a_slow_leaf_from_one_call_of_each_daemon) {
+Test(report_board, one_call_of_each_daemon_suffices_to_detect_a_slow_leaf) {
   ReportBoard board;
   const TimePoint now = Clock::now();
   for (int daemon = 0; daemon < 26; ++daemon) {
@@ -37,7 +37,7 @@
   cr_assert(summary[0].excess > 3.9);
 }
 
-Test(report_board, one_daemon_does_not_speak_for_the_zone) {
+Test(report_board, one_daemon_does_not_outweigh_the_zone) {
   ReportBoard board;
   const TimePoint now = Clock::now();
   board.take(report(1000, 4), now);
@@ -47,21 +47,21 @@
   cr_assert(board.summary(now).empty());
 }
 
-Test(report_board, a_leaf_that_recovers_is_told_of_once_more) {
+Test(report_board, a_recovered_leaf_is_reported_once_more) {
   ReportBoard board;
   TimePoint now = Clock::now();
   board.take(report(4, 4), now);
   cr_assert(board.summary(now).size() == 1);
   now += milliseconds(2000);
   board.take(report(8, 0), now);
-  const auto better = board.summary(now);
-  cr_assert(better.size() == 1);
-  cr_assert(!better[0].is_notable());
+  const auto recovered = board.summary(now);
+  cr_assert(recovered.size() == 1);
+  cr_assert(!recovered[0].is_notable());
   cr_assert(board.summary(now).empty());
 }
 
 // Guards against a recovered leaf that is still considered slow.
-Test(report_board, a_leaf_that_is_tried_after_a_pause_and_is_well_is_told_of) {
+Test(report_board, a_leaf_found_recovered_after_a_pause_is_reported) {
   ReportBoard board;
   TimePoint now = Clock::now();
   board.take(report(4, 4), now);
@@ -69,12 +69,12 @@
   now += std::chrono::seconds(20);
   cr_assert(board.summary(now).empty());
   board.take(report(1, 0), now);
-  const auto better = board.summary(now);
-  cr_assert(better.size() == 1);
-  cr_assert(!better[0].is_notable());
+  const auto recovered = board.summary(now);
+  cr_assert(recovered.size() == 1);
+  cr_assert(!recovered[0].is_notable());
 }
 
-Test(report_board, what_is_old_is_forgotten) {
+Test(report_board, old_reports_expire) {
   ReportBoard board;
   const TimePoint now = Clock::now();
   board.take(report(4, 4), now);
@@ -88,7 +88,7 @@
   cr_assert(board.summary(now).size() == 1);
 }
 
-Test(leaf_report, passes_through_its_payload) {
+Test(leaf_report, is_unchanged_by_encoding_and_decoding) {
   const auto read = decode_reports(encode({report(2, 1.5, 0.25)}));
   cr_assert(read.has_value() && read->size() == 1);
   cr_assert(read->front().run.id == "leaf");
@@ -97,12 +97,12 @@
   cr_assert(read->front().failures == 0.25);
 }
 
-Test(leaf_report, figures_that_make_no_sense_are_refused) {
+Test(leaf_report, out_of_range_numbers_are_rejected) {
   const double nan = std::numeric_limits<double>::quiet_NaN();
-  for (const LeafReport& odd :
+  for (const LeafReport& invalid :
        {report(0, 1), report(-1, 1), report(nan, 1), report(1, nan),
         report(1, -1), report(1, 1, -0.5)}) {
-    cr_assert(!decode_reports(encode({odd})).has_value());
+    cr_assert(!decode_reports(encode({invalid})).has_value());
   }
   cr_assert(!decode_reports("garbage").has_value());
 }
--- a/tests/routing/route_table_test.cc
+++ b/tests/routing/route_table_test.cc
@@ -23,32 +23,32 @@
       {{"desk", 26}}, {});
 }
 
-std::string found(std::string_view host, std::string_view path) {
+std::string matched_route(std::string_view host, std::string_view path) {
   const RouteTable all = table();
   const Route* route = all.find(host, path);
   return route ? route->name : "none";
 }
 
 Test(route_table, the_longest_prefix_of_the_host_wins) {
-  cr_assert(found("a.example", "/pages/engines/7") == "deep");
-  cr_assert(found("a.example", "/pages/7") == "pages");
-  cr_assert(found("a.example", "/x") == "all");
-  cr_assert(found("b.example", "/pages/engines/7") == "other");
+  cr_assert(matched_route("a.example", "/pages/engines/7") == "deep");
+  cr_assert(matched_route("a.example", "/pages/7") == "pages");
+  cr_assert(matched_route("a.example", "/x") == "all");
+  cr_assert(matched_route("b.example", "/pages/engines/7") == "other");
 }
 
 Test(route_table, a_prefix_ends_at_a_slash) {
-  cr_assert(found("a.example", "/pagesx/7") == "all");
-  cr_assert(found("b.example", "/pages") == "none");
+  cr_assert(matched_route("a.example", "/pagesx/7") == "all");
+  cr_assert(matched_route("b.example", "/pages") == "none");
 }
 
 Test(route_table, the_case_of_a_host_does_not_matter) {
-  cr_assert(found("A.Example", "/pages/7") == "pages");
+  cr_assert(matched_route("A.Example", "/pages/7") == "pages");
 }
 
-Test(route_table, what_no_route_covers_is_not_found) {
-  cr_assert(found("c.example", "/pages/7") == "none");
-  cr_assert(found("b.example", "") == "none");
-  cr_assert(found("", "/") == "none");
+Test(route_table, a_request_without_matching_route_finds_none) {
+  cr_assert(matched_route("c.example", "/pages/7") == "none");
+  cr_assert(matched_route("b.example", "") == "none");
+  cr_assert(matched_route("", "/") == "none");
 }
 
 Test(route_table, services_are_found_by_name) {
--- a/tests/routing/split_rotation_test.cc
+++ b/tests/routing/split_rotation_test.cc
@@ -10,9 +10,9 @@
 
 using Split = std::vector<WeightedService>;
 
-std::map<std::string, int> deal(SplitRotation& rotation,
-                                const Split& split,
-                                int requests) {
+std::map<std::string, int> count_choices(SplitRotation& rotation,
+                                         const Split& split,
+                                         int requests) {
   std::map<std::string, int> counts;
   for (int i = 0; i < requests; ++i) {
     ++counts[rotation.next(split)];
@@ -20,30 +20,30 @@
   return counts;
 }
 
-Test(split_rotation, every_run_of_requests_is_near_the_weights) {
+Test(split_rotation, every_ten_requests_follow_the_weights) {
   SplitRotation rotation;
   const Split split = {{"old", 0.7}, {"new", 0.3}};
   for (int run = 0; run < 20; ++run) {
-    const auto counts = deal(rotation, split, 10);
+    const auto counts = count_choices(rotation, split, 10);
     cr_assert(std::abs(counts.at("old") - 7) <= 1);
   }
 }
 
 Test(split_rotation, one_service_gets_all) {
   SplitRotation rotation;
-  cr_assert(deal(rotation, {{"desk", 1}}, 5).at("desk") == 5);
+  cr_assert(count_choices(rotation, {{"desk", 1}}, 5).at("desk") == 5);
 }
 
 Test(split_rotation, a_weight_of_zero_gets_nothing) {
   SplitRotation rotation;
-  const auto counts = deal(rotation, {{"old", 1}, {"new", 0}}, 50);
+  const auto counts = count_choices(rotation, {{"old", 1}, {"new", 0}}, 50);
   cr_assert(!counts.contains("new"));
 }
 
-Test(split_rotation, another_split_begins_anew) {
+Test(split_rotation, a_changed_split_starts_a_new_rotation) {
   SplitRotation rotation;
-  deal(rotation, {{"old", 0.5}, {"new", 0.5}}, 1);
-  const auto counts = deal(rotation, {{"old", 0.1}, {"new", 0.9}}, 10);
+  count_choices(rotation, {{"old", 0.5}, {"new", 0.5}}, 1);
+  const auto counts = count_choices(rotation, {{"old", 0.1}, {"new", 0.9}}, 10);
   cr_assert(counts.at("new") == 9);
 }
 
