--- a/tests/dispatch/dispatch_policy_test.cc
+++ b/tests/dispatch/dispatch_policy_test.cc
@@ -52,7 +52,7 @@
   cr_assert(fixture.leafs.runs["desk-0"].size() == 1);
 }
 
-Test(dispatch_policy, without_ejection_a_leaf_is_reconnected_to_at_once) {
+Test(dispatch_policy, without_ejection_a_leaf_is_dialled_again_at_once) {
   DispatchFixture fixture(policy_without(&DispatchPolicy::eject));
   fixture.leafs.behaviour["desk-0"] = {.refuses_dials = true};
   cr_assert(fixture.run("r1", "/page/1").has_value());
