--- a/ibismux/routing/route.h
+++ b/ibismux/routing/route.h
@@ -38,7 +38,7 @@
   /// @name Target: exactly one of the two is not empty
   /// @{
   std::vector<WeightedService> split;  ///< One entry: no split.
-  std::vector<std::string> shards;     ///< One per shard; a query calls all.
+  std::vector<std::string> shards;     ///< Services; a query calls all.
   /// @}
 
   /// @name Queries over shards
