--- a/ibismux/routing/split_rotation.cc
+++ b/ibismux/routing/split_rotation.cc
@@ -5,31 +5,30 @@
 namespace ibismux::routing {
 
 bool SplitRotation::matches(const std::vector<WeightedService>& split) const {
-  return std::equal(this->targets.begin(), this->targets.end(), split.begin(),
-                    split.end(), [](const Target& current, const auto& target) {
-                      return current.service == target.service &&
-                             current.weight == target.weight;
+  return std::equal(this->parts.begin(), this->parts.end(), split.begin(),
+                    split.end(), [](const Part& part, const auto& target) {
+                      return part.service == target.service &&
+                             part.weight == target.weight;
                     });
 }
 
 const std::string& SplitRotation::next(
     const std::vector<WeightedService>& split) {
   if (!this->matches(split)) {
-    this->targets.clear();
+    this->parts.clear();
     for (const WeightedService& target : split) {
-      this->targets.push_back({target.service, target.weight, 0});
+      this->parts.push_back({target.service, target.weight, 0});
     }
   }
   double total = 0;
-  for (Target& current : this->targets) {
-    current.current_weight += current.weight;
-    total += current.weight;
+  for (Part& part : this->parts) {
+    part.current_weight += part.weight;
+    total += part.weight;
   }
-  const auto chosen =
-      std::max_element(this->targets.begin(), this->targets.end(),
-                       [](const Target& a, const Target& b) {
-                         return a.current_weight < b.current_weight;
-                       });
+  const auto chosen = std::max_element(
+      this->parts.begin(), this->parts.end(), [](const Part& a, const Part& b) {
+        return a.current_weight < b.current_weight;
+      });
   chosen->current_weight -= total;
   return chosen->service;
 }
--- a/ibismux/routing/split_rotation.h
+++ b/ibismux/routing/split_rotation.h
@@ -26,7 +26,7 @@
       const std::vector<WeightedService>& split);
 
  private:
-  struct Target {
+  struct Part {
     std::string service;
     double weight;
     double current_weight;
@@ -34,7 +34,7 @@
 
   [[nodiscard]] bool matches(const std::vector<WeightedService>& split) const;
 
-  std::vector<Target> targets;
+  std::vector<Part> parts;
 };
 
 }  // namespace ibismux::routing
