--- a/ibismux/routing/split_rotation.h
+++ b/ibismux/routing/split_rotation.h
@@ -8,8 +8,8 @@
 
 namespace ibismux::routing {
 
-/// Distributes the requests of one route among the services of its split, in
-/// proportion to their weights.
+/// Assigns requests of one route to the services of its split, in proportion
+/// to their weights.
 ///
 /// Uses smooth weighted round robin: over any number of consecutive requests,
 /// the counts are as close to the weights as whole requests allow. A random
@@ -20,8 +20,8 @@
 /// Not thread safe.
 class SplitRotation {
  public:
-  /// Chooses the service of the next request. A split that differs from that of
-  /// the last call starts a new rotation. Precondition: `split` is not empty.
+  /// Returns the service for the next request. If `split` differs from that of
+  /// the last call, a new rotation starts. Precondition: `split` is not empty.
   [[nodiscard]] const std::string& next(
       const std::vector<WeightedService>& split);
 
