--- a/ibismux/dispatch/dispatcher.cc
+++ b/ibismux/dispatch/dispatcher.cc
@@ -46,8 +46,7 @@
   }
 }
 
-bool Dispatcher::put_in_force(
-    std::shared_ptr<const routing::RouteTable> table) {
+bool Dispatcher::activate(std::shared_ptr<const routing::RouteTable> table) {
   if (this->active_table && table->version() <= this->active_table->version()) {
     return false;
   }
--- a/ibismux/dispatch/dispatcher.h
+++ b/ibismux/dispatch/dispatcher.h
@@ -50,7 +50,7 @@
   /// Activates a configuration for all requests that arrive from now on.
   /// @return False, without any effect, if it isn't newer than the active one:
   /// during one run of a daemon the configuration version never decreases.
-  bool put_in_force(std::shared_ptr<const routing::RouteTable> table);
+  bool activate(std::shared_ptr<const routing::RouteTable> table);
 
   /// The active configuration, or null before the first one.
   [[nodiscard]] const std::shared_ptr<const routing::RouteTable>& table()
--- a/ibismux/edge/edge_daemon.cc
+++ b/ibismux/edge/edge_daemon.cc
@@ -185,7 +185,7 @@
 
 void EdgeDaemon::Impl::take(
     const std::shared_ptr<const routing::RouteTable>& table) {
-  if (!this->dispatcher.put_in_force(table)) {
+  if (!this->dispatcher.activate(table)) {
     return;
   }
   const routing::CallerLimits& told = table->limits();
--- a/tests/dispatch/cold_limit_test.cc
+++ b/tests/dispatch/cold_limit_test.cc
@@ -136,7 +136,7 @@
                                            .warmup = std::chrono::seconds(30),
                                            .warmup_rate = rate}};
     const routing::RouteTable& before = *this->dispatcher.table();
-    this->dispatcher.put_in_force(std::make_shared<const routing::RouteTable>(
+    this->dispatcher.activate(std::make_shared<const routing::RouteTable>(
         2, before.routes(), services, routing::CallerLimits{}));
     LinkSharers fleet;
     fleet.hosts = 3;
--- a/tests/dispatch/dispatch_fixture.h
+++ b/tests/dispatch/dispatch_fixture.h
@@ -94,7 +94,7 @@
       services.push_back({"s" + std::to_string(i), 40});
     }
     services.push_back({"desk", 40});
-    this->dispatcher.put_in_force(std::make_shared<const routing::RouteTable>(
+    this->dispatcher.activate(std::make_shared<const routing::RouteTable>(
         version, std::vector<routing::Route>{query, page, order}, services,
         routing::CallerLimits{}));
   }
--- a/tests/dispatch/gather_for_peer_test.cc
+++ b/tests/dispatch/gather_for_peer_test.cc
@@ -67,7 +67,7 @@
       this->add_service(shard);
       route.shards.push_back(shard);
     }
-    this->dispatcher.put_in_force(std::make_shared<const routing::RouteTable>(
+    this->dispatcher.activate(std::make_shared<const routing::RouteTable>(
         2, std::vector<routing::Route>{route},
         std::vector<routing::ServiceSpec>{}, routing::CallerLimits{}));
     this->dispatcher.set_delegate(this->delegate);
@@ -112,7 +112,7 @@
     fixture.dispatcher.update_settings(fixture.settings);
     auto route = fixture.dispatcher.table()->routes().front();
     route.allowed_regions = {"north"};
-    fixture.dispatcher.put_in_force(std::make_shared<const routing::RouteTable>(
+    fixture.dispatcher.activate(std::make_shared<const routing::RouteTable>(
         3, std::vector<routing::Route>{route},
         std::vector<routing::ServiceSpec>{}, routing::CallerLimits{}));
     cr_assert(fixture.run("q1", "/query/").has_value());
