--- a/ibismux/dispatch/part_call.cc
+++ b/ibismux/dispatch/part_call.cc
@@ -33,7 +33,7 @@
 
 void PartCall::start() {
   this->current = State::kOpen;
-  this->group->count_first();
+  this->group->record_first_attempt();
   this->starting = true;
   if (!this->begin()) {
     this->wait_for_room([this] { return this->begin(); });
@@ -60,7 +60,7 @@
         return begun;
       },
       Clock::now());
-  this->group->await_warmer_leafs();
+  this->group->schedule_queue_retry();
 }
 
 void PartCall::leave_queue() {
@@ -197,7 +197,7 @@
   }
   if (end.reply && end.reply->kind == LeafReply::Kind::kSuccess) {
     this->context->typical->record(took, now);
-    this->group->note_call(took);
+    this->group->record_call_time(took);
   }
   const std::shared_ptr<Leaf> leaf = ended->leaf;
   this->active.erase(ended);
--- a/ibismux/dispatch/service_group.cc
+++ b/ibismux/dispatch/service_group.cc
@@ -216,7 +216,7 @@
   return this->cheapest(criteria, now, false);
 }
 
-void ServiceGroup::count_first() noexcept {
+void ServiceGroup::record_first_attempt() noexcept {
   this->repeats.deposit(1, this->settings.repeat_share);
 }
 
@@ -227,10 +227,10 @@
                          return leaf->in_service() && leaf->has_room();
                        });
   });
-  this->await_warmer_leafs();
+  this->schedule_queue_retry();
 }
 
-void ServiceGroup::await_warmer_leafs() {
+void ServiceGroup::schedule_queue_retry() {
   if (this->waiting.empty()) {
     return;
   }
--- a/ibismux/dispatch/service_group.h
+++ b/ibismux/dispatch/service_group.h
@@ -82,7 +82,7 @@
   /// @name Budget of repeats
   /// @{
   /// Counts the first attempt of a request, which adds to the budget.
-  void count_first() noexcept;
+  void record_first_attempt() noexcept;
   /// Sets the most repeats that the budget can hold.
   void set_repeat_burst(double most) noexcept { this->repeats.set_burst(most); }
   /// Takes one repeat from the budget. @return False if none is left.
@@ -103,9 +103,9 @@
   void serve_waiting();
   /// Has the queue served again when cold leafs may be given their next calls.
   /// To be called after a call has joined the queue.
-  void await_warmer_leafs();
+  void schedule_queue_retry();
   /// Records how long a call took at its leaf.
-  void note_call(Duration took) noexcept { this->call_time.add(took); }
+  void record_call_time(Duration took) noexcept { this->call_time.add(took); }
   /// Estimated queueing time of a call of `priority` that arrives now, for a
   /// leaf of `zones` (null: of any zone), from the duration of recent calls.
   /// Zero if no call that would be served before it is waiting.
