--- a/ibismux/dispatch/dispatcher.h
+++ b/ibismux/dispatch/dispatcher.h
@@ -37,7 +37,7 @@
 ///
 /// Belongs to one event loop; not thread safe.
 class Dispatcher : public directory::DirectoryListener,
-                   public reports::ReportParty,
+                   public reports::ReportClient,
                    public QueryGatherer {
  public:
   /// All but `settings` outlive the dispatcher and its requests.
@@ -105,7 +105,7 @@
   void on_outdated_entry(const directory::LeafEntry& entry) override;
   /// @}
 
-  /// @name ReportParty
+  /// @name ReportClient
   /// @{
   [[nodiscard]] std::vector<reports::LeafReport> take_reports() override;
   void on_report(const reports::LeafReport& report) override;
--- a/ibismux/reports/forward.h
+++ b/ibismux/reports/forward.h
@@ -6,7 +6,7 @@
 struct LeafReport;
 class ReportBoard;
 class ReportExchange;
-class ReportParty;
+class ReportClient;
 
 }  // namespace ibismux::reports
 
--- a/ibismux/reports/report_exchange.cc
+++ b/ibismux/reports/report_exchange.cc
@@ -21,10 +21,10 @@
 
 ReportExchange::ReportExchange(boost::asio::io_context& loop,
                                peer::PeerNetwork& network,
-                               ReportParty& party,
+                               ReportClient& client,
                                eventlog::EventLog& log)
     : network(network),
-      party(party),
+      client(client),
       log(log),
       tree(1, kFanOut),
       timer(loop.get_executor()) {}
@@ -52,7 +52,7 @@
 }
 
 void ReportExchange::exchange_reports() {
-  const std::vector<LeafReport> own = this->party.take_reports();
+  const std::vector<LeafReport> own = this->client.take_reports();
   if (this->tree.parent()) {
     if (!own.empty()) {
       this->network.notify(*this->tree.parent(), MessageKind::kLeafReports,
@@ -88,7 +88,7 @@
     return;
   }
   for (const LeafReport& report : reports) {
-    this->party.on_report(report);
+    this->client.on_report(report);
   }
   const std::string payload = encode(reports);
   for (const std::string& child : this->tree.children()) {
--- a/ibismux/reports/report_exchange.h
+++ b/ibismux/reports/report_exchange.h
@@ -17,9 +17,9 @@
 namespace ibismux::reports {
 
 /// Produces reports of leafs and receives those of other daemons.
-class ReportParty {
+class ReportClient {
  public:
-  virtual ~ReportParty() = default;
+  virtual ~ReportClient() = default;
   /// Returns what was seen since the last call of leafs that are notable, or
   /// that peers have reported.
   [[nodiscard]] virtual std::vector<LeafReport> take_reports() = 0;
@@ -41,7 +41,7 @@
   /// Precondition: the network has not started. All outlive this.
   ReportExchange(boost::asio::io_context& loop,
                  peer::PeerNetwork& network,
-                 ReportParty& party,
+                 ReportClient& client,
                  eventlog::EventLog& log);
 
   /// Registers the message handler and starts the periodic exchange. To be
@@ -57,7 +57,7 @@
   void distribute(const std::vector<LeafReport>& reports);
 
   peer::PeerNetwork& network;
-  ReportParty& party;
+  ReportClient& client;
   eventlog::EventLog& log;
   membership::SpreadTree tree;
   ReportBoard board;
