--- a/ibismux/reports/forward.h
+++ b/ibismux/reports/forward.h
@@ -4,7 +4,7 @@
 namespace ibismux::reports {
 
 struct LeafReport;
-class ReportBoard;
+class ReportAggregator;
 class ReportExchange;
 class ReportClient;
 
--- a/ibismux/reports/report_board.cc
+++ b/ibismux/reports/report_aggregator.cc
@@ -1,4 +1,4 @@
-#include "ibismux/reports/report_board.h"
+#include "ibismux/reports/report_aggregator.h"
 
 #include <cmath>
 #include <utility>
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void ReportBoard::Row::decay(TimePoint now) {
+void ReportAggregator::Row::decay(TimePoint now) {
   const double half_lives =
       to_seconds(now - this->updated) / to_seconds(kHalfLife);
   const double kept = std::exp2(-half_lives);
@@ -28,7 +28,7 @@
   this->updated = now;
 }
 
-void ReportBoard::take(const LeafReport& report, TimePoint now) {
+void ReportAggregator::add(const LeafReport& report, TimePoint now) {
   auto [place, inserted] = this->rows.try_emplace(report.run);
   Row& row = place->second;
   if (inserted) {
@@ -42,7 +42,7 @@
   row.failure_sum += weight * report.failures;
 }
 
-std::vector<LeafReport> ReportBoard::summary(TimePoint now) {
+std::vector<LeafReport> ReportAggregator::summary(TimePoint now) {
   std::vector<LeafReport> notable;
   for (auto& [run, row] : this->rows) {
     row.decay(now);
--- a/ibismux/reports/report_board.h
+++ b/ibismux/reports/report_aggregator.h
@@ -1,5 +1,5 @@
-#ifndef IBISMUX_REPORTS_REPORT_BOARD_H_
-#define IBISMUX_REPORTS_REPORT_BOARD_H_
+#ifndef IBISMUX_REPORTS_REPORT_AGGREGATOR_H_
+#define IBISMUX_REPORTS_REPORT_AGGREGATOR_H_
 
 #include <map>
 #include <string>
@@ -16,11 +16,11 @@
 /// half of their weight every `kHalfLife`, because leafs become slow and
 /// recover within seconds. Not thread safe. Precondition: the times passed
 /// never decrease.
-class ReportBoard {
+class ReportAggregator {
  public:
   static constexpr std::chrono::milliseconds kHalfLife{1000};
 
-  void take(const LeafReport& report, TimePoint now);
+  void add(const LeafReport& report, TimePoint now);
 
   /// Returns the leafs that are notable now, and once each leaf that was
   /// notable in a summary and that has recovered according to later calls.
@@ -43,4 +43,4 @@
 
 }  // namespace ibismux::reports
 
-#endif  // IBISMUX_REPORTS_REPORT_BOARD_H_
+#endif  // IBISMUX_REPORTS_REPORT_AGGREGATOR_H_
--- a/ibismux/reports/report_exchange.cc
+++ b/ibismux/reports/report_exchange.cc
@@ -61,9 +61,9 @@
   } else {
     const TimePoint now = Clock::now();
     for (const LeafReport& report : own) {
-      this->board.take(report, now);
+      this->aggregator.add(report, now);
     }
-    this->distribute(this->board.summary(now));
+    this->distribute(this->aggregator.summary(now));
   }
   this->timer.expires_after(kReportInterval);
   http::await_timer(this->timer, this->weak_from_this(),
@@ -79,7 +79,7 @@
   }
   const TimePoint now = Clock::now();
   for (const LeafReport& report : reports) {
-    this->board.take(report, now);
+    this->aggregator.add(report, now);
   }
 }
 
--- a/ibismux/reports/report_exchange.h
+++ b/ibismux/reports/report_exchange.h
@@ -12,7 +12,7 @@
 #include "ibismux/membership/spread_tree.h"
 #include "ibismux/peer/peer_network.h"
 #include "ibismux/reports/leaf_report.h"
-#include "ibismux/reports/report_board.h"
+#include "ibismux/reports/report_aggregator.h"
 
 namespace ibismux::reports {
 
@@ -60,7 +60,7 @@
   ReportClient& client;
   eventlog::EventLog& log;
   membership::SpreadTree tree;
-  ReportBoard board;
+  ReportAggregator aggregator;
   http::Timer timer;
 };
 
--- a/tests/dispatch/zone_memory_test.cc
+++ b/tests/dispatch/zone_memory_test.cc
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "ibismux/dispatch/leaf_estimate.h"
-#include "ibismux/reports/report_board.h"
+#include "ibismux/reports/report_aggregator.h"
 
 // What a zone of daemons remembers of a slow leaf, without network: its
 // daemons' estimates, and the board that puts their reports together.
@@ -64,8 +64,8 @@
     for (LeafEstimate& estimate : this->estimates) {
       const auto seen = estimate.take_seen();
       if (seen.samples > 0) {
-        this->board.take(
-            {{"leaf"}, seen.samples, seen.excess / seen.samples, 0}, this->now);
+        this->board.add({{"leaf"}, seen.samples, seen.excess / seen.samples, 0},
+                        this->now);
       }
     }
     for (const reports::LeafReport& news : this->board.summary(this->now)) {
@@ -91,7 +91,7 @@
   }
 
   std::vector<LeafEstimate> estimates;
-  reports::ReportBoard board;
+  reports::ReportAggregator board;
   const bool share_forgetting;
   TimePoint now = Clock::now();
   TimePoint next_round = this->now + kRound;
