--- a/ibismux/dispatch/dispatcher.h
+++ b/ibismux/dispatch/dispatcher.h
@@ -28,7 +28,7 @@
 #include "ibismux/quarantine/quarantine_table.h"
 #include "ibismux/reports/report_exchange.h"
 #include "ibismux/routing/route_table.h"
-#include "ibismux/routing/split_rotation.h"
+#include "ibismux/routing/weighted_round_robin.h"
 
 namespace ibismux::dispatch {
 
@@ -169,7 +169,7 @@
   std::shared_ptr<LinkOpener> opener;
   QueryDelegate* delegate = nullptr;
   std::map<std::string, std::shared_ptr<TypicalLatency>> latencies;
-  std::map<std::string, routing::SplitRotation> splits;
+  std::map<std::string, routing::WeightedRoundRobin> splits;
 };
 
 }  // namespace ibismux::dispatch
--- a/ibismux/routing/forward.h
+++ b/ibismux/routing/forward.h
@@ -10,7 +10,7 @@
 struct ServiceSpec;
 struct WeightedService;
 class RouteIndex;
-class SplitRotation;
+class WeightedRoundRobin;
 
 }  // namespace ibismux::routing
 
--- a/ibismux/routing/split_rotation.cc
+++ b/ibismux/routing/weighted_round_robin.cc
@@ -1,10 +1,11 @@
-#include "ibismux/routing/split_rotation.h"
+#include "ibismux/routing/weighted_round_robin.h"
 
 #include <algorithm>
 
 namespace ibismux::routing {
 
-bool SplitRotation::matches(const std::vector<WeightedService>& split) const {
+bool WeightedRoundRobin::matches(
+    const std::vector<WeightedService>& split) const {
   return std::equal(this->parts.begin(), this->parts.end(), split.begin(),
                     split.end(), [](const Part& part, const auto& target) {
                       return part.service == target.service &&
@@ -12,7 +13,7 @@
                     });
 }
 
-const std::string& SplitRotation::next(
+const std::string& WeightedRoundRobin::next(
     const std::vector<WeightedService>& split) {
   if (!this->matches(split)) {
     this->parts.clear();
--- a/ibismux/routing/split_rotation.h
+++ b/ibismux/routing/weighted_round_robin.h
@@ -1,5 +1,5 @@
-#ifndef IBISMUX_ROUTING_SPLIT_ROTATION_H_
-#define IBISMUX_ROUTING_SPLIT_ROTATION_H_
+#ifndef IBISMUX_ROUTING_WEIGHTED_ROUND_ROBIN_H_
+#define IBISMUX_ROUTING_WEIGHTED_ROUND_ROBIN_H_
 
 #include <string>
 #include <vector>
@@ -18,7 +18,7 @@
 /// hold for the whole fleet.
 ///
 /// Not thread safe.
-class SplitRotation {
+class WeightedRoundRobin {
  public:
   /// Returns the service for the next request. If `split` differs from that of
   /// the last call, a new rotation starts. Precondition: `split` is not empty.
@@ -39,4 +39,4 @@
 
 }  // namespace ibismux::routing
 
-#endif  // IBISMUX_ROUTING_SPLIT_ROTATION_H_
+#endif  // IBISMUX_ROUTING_WEIGHTED_ROUND_ROBIN_H_
--- a/tests/routing/split_rotation_test.cc
+++ b/tests/routing/weighted_round_robin_test.cc
@@ -1,4 +1,4 @@
-#include "ibismux/routing/split_rotation.h"
+#include "ibismux/routing/weighted_round_robin.h"
 
 #include <criterion/criterion.h>
 
@@ -10,7 +10,7 @@
 
 using Split = std::vector<WeightedService>;
 
-std::map<std::string, int> count_choices(SplitRotation& rotation,
+std::map<std::string, int> count_choices(WeightedRoundRobin& rotation,
                                          const Split& split,
                                          int requests) {
   std::map<std::string, int> counts;
@@ -20,8 +20,8 @@
   return counts;
 }
 
-Test(split_rotation, every_ten_requests_follow_the_weights) {
-  SplitRotation rotation;
+Test(weighted_round_robin, every_ten_requests_follow_the_weights) {
+  WeightedRoundRobin rotation;
   const Split split = {{"old", 0.7}, {"new", 0.3}};
   for (int run = 0; run < 20; ++run) {
     const auto counts = count_choices(rotation, split, 10);
@@ -29,19 +29,19 @@
   }
 }
 
-Test(split_rotation, one_service_gets_all) {
-  SplitRotation rotation;
+Test(weighted_round_robin, one_service_gets_all) {
+  WeightedRoundRobin rotation;
   cr_assert(count_choices(rotation, {{"desk", 1}}, 5).at("desk") == 5);
 }
 
-Test(split_rotation, a_weight_of_zero_gets_nothing) {
-  SplitRotation rotation;
+Test(weighted_round_robin, a_weight_of_zero_gets_nothing) {
+  WeightedRoundRobin rotation;
   const auto counts = count_choices(rotation, {{"old", 1}, {"new", 0}}, 50);
   cr_assert(!counts.contains("new"));
 }
 
-Test(split_rotation, a_changed_split_starts_a_new_rotation) {
-  SplitRotation rotation;
+Test(weighted_round_robin, a_changed_split_starts_a_new_rotation) {
+  WeightedRoundRobin rotation;
   count_choices(rotation, {{"old", 0.5}, {"new", 0.5}}, 1);
   const auto counts = count_choices(rotation, {{"old", 0.1}, {"new", 0.9}}, 10);
   cr_assert(counts.at("new") == 9);
