--- a/tests/dispatch/allowed_regions_test.cc
+++ b/tests/dispatch/allowed_regions_test.cc
@@ -52,7 +52,7 @@
 // Guards against hedges and retries that leave the regions.
 Test(allowed_regions, hedges_and_retries_stay_in_them) {
   RegionFixture fixture({"north"});
-  fixture.patience = milliseconds(100);
+  fixture.caller_timeout = milliseconds(100);
   fixture.leafs.behaviour["desk-1"].silent = true;
   cr_assert(fixture.run_many("/page/", 2) == 0);
   fixture.leafs.behaviour["desk-1"] = {.fails = true};
--- a/tests/dispatch/crashing_request_test.cc
+++ b/tests/dispatch/crashing_request_test.cc
@@ -65,7 +65,8 @@
   DispatchFixture fixture;
   for (int i = 0; i < 6; ++i) {
     for (const char* service : {"s1", "s2", "s3", "s4"}) {
-      fixture.all_of(service, {.work = std::chrono::milliseconds(50)});
+      fixture.set_behaviour_of_service(service,
+                                       {.work = std::chrono::milliseconds(50)});
     }
     const std::string id = "r" + std::to_string(i);
     fixture.begin(id, "/query/popular");
@@ -76,7 +77,7 @@
     fixture.run_until([&] { return fixture.outcomes.contains(id); });
     fixture.restart_ended_leafs();
     for (const char* service : {"s1", "s2", "s3", "s4"}) {
-      fixture.all_of(service, {});
+      fixture.set_behaviour_of_service(service, {});
     }
     cr_assert(fixture.run("again" + id, "/query/popular").has_value());
   }
@@ -86,7 +87,8 @@
 // Guards against a request that is lost with one that ends its leaf.
 Test(crashing_request, a_bystander_is_served_by_another_leaf) {
   DispatchFixture fixture;
-  fixture.all_of("desk", {.work = std::chrono::milliseconds(50)});
+  fixture.set_behaviour_of_service("desk",
+                                   {.work = std::chrono::milliseconds(50)});
   fixture.leafs.crashing_target = "/page/bad";
   fixture.begin("good", "/page/good");
   fixture.begin("bad", "/page/bad");
--- a/tests/dispatch/dispatch_fixture.h
+++ b/tests/dispatch/dispatch_fixture.h
@@ -110,7 +110,7 @@
     message->target = path;
     request.message = std::move(message);
     request.received = Clock::now();
-    request.deadline = request.received + this->patience;
+    request.deadline = request.received + this->caller_timeout;
     return request;
   }
 
@@ -157,7 +157,8 @@
     return std::get<MergedAnswer>(*this->outcomes.at(id));
   }
 
-  void all_of(const std::string& service, Behaviour behaviour) {
+  void set_behaviour_of_service(const std::string& service,
+                                Behaviour behaviour) {
     for (int i = 0; i < 3; ++i) {
       this->leafs.behaviour[service + "-" + std::to_string(i)] = behaviour;
     }
@@ -167,7 +168,7 @@
   std::vector<std::string> allowed_regions;
   std::chrono::milliseconds objective{20'000};
   std::chrono::milliseconds time_limit{50'000};
-  std::chrono::milliseconds patience{50'000};
+  std::chrono::milliseconds caller_timeout{50'000};
 
   boost::asio::io_context loop;
   int run_many_count = 0;  ///< Requests run by `run_many()`.
--- a/tests/dispatch/dispatch_policy_test.cc
+++ b/tests/dispatch/dispatch_policy_test.cc
@@ -13,7 +13,7 @@
       : DispatchFixture(policy) {
     this->objective = milliseconds(100);
     this->time_limit = milliseconds(400);
-    this->patience = milliseconds(400);
+    this->caller_timeout = milliseconds(400);
     this->configure(2);
   }
 };
@@ -35,7 +35,7 @@
 
 Test(dispatch_policy, without_partial_answers_a_query_waits_for_all_shards) {
   PolicyFixture fixture(policy_without(&DispatchPolicy::partial_answers));
-  fixture.all_of("s1", {.silent = true});
+  fixture.set_behaviour_of_service("s1", {.silent = true});
   const TimePoint began = Clock::now();
   cr_assert(fixture.run("r1", "/query/1").has_value());
   cr_assert(fixture.merged("r1").missing_shards == 1);
--- a/tests/dispatch/forward_test.cc
+++ b/tests/dispatch/forward_test.cc
@@ -48,7 +48,7 @@
 // Guards against a reservation that is sent to a second leaf after a reset.
 Test(forward, at_most_once_is_not_sent_again_after_a_byte_left) {
   DispatchFixture fixture;
-  fixture.all_of("desk", {.resets = true});
+  fixture.set_behaviour_of_service("desk", {.resets = true});
   const Outcome& outcome = fixture.run("r1", "/order/1");
   cr_assert(outcome.error().execution == Execution::kUnknown);
   cr_assert(fixture.leafs.times_run("r1") == 1);
@@ -70,7 +70,7 @@
 
 Test(forward, all_leafs_full_is_a_refusal_that_is_true) {
   DispatchFixture fixture;
-  fixture.all_of("desk", {.sheds = true});
+  fixture.set_behaviour_of_service("desk", {.sheds = true});
   const Outcome& outcome = fixture.run("r1", "/order/1");
   cr_assert(outcome.error().execution == Execution::kNotRun);
   cr_assert(outcome.error().retry_after.has_value());
@@ -87,7 +87,7 @@
 
 Test(forward, the_routes_attempts_are_never_passed) {
   DispatchFixture fixture;
-  fixture.all_of("desk", {.fails = true});
+  fixture.set_behaviour_of_service("desk", {.fails = true});
   const Outcome& outcome = fixture.run("r1", "/page/1");
   // The leaf's own failure says more than one of ours.
   cr_assert(std::get<LeafAnswer>(*outcome).status == 500);
@@ -140,8 +140,8 @@
 
 Test(forward, a_silent_leaf_ends_with_the_callers_time_and_no_promise) {
   DispatchFixture fixture;
-  fixture.patience = std::chrono::milliseconds(60);
-  fixture.all_of("desk", {.silent = true});
+  fixture.caller_timeout = std::chrono::milliseconds(60);
+  fixture.set_behaviour_of_service("desk", {.silent = true});
   const Outcome& outcome = fixture.run("r1", "/order/1");
   cr_assert(outcome.error().execution == Execution::kUnknown);
   cr_assert(fixture.leafs.times_run("r1") == 1);
@@ -151,12 +151,12 @@
 Test(forward, a_silent_leaf_is_a_timeout_also_where_the_daemon_is_late) {
   for (const char* path : {"/order/1", "/page/1"}) {
     DispatchFixture fixture;
-    fixture.patience = std::chrono::milliseconds(400);
-    fixture.all_of("desk", {.silent = true});
+    fixture.caller_timeout = std::chrono::milliseconds(400);
+    fixture.set_behaviour_of_service("desk", {.silent = true});
     fixture.begin("r1", path);
     cr_assert(
         fixture.run_until([&] { return fixture.leafs.times_run("r1") > 0; }));
-    std::this_thread::sleep_for(fixture.patience);
+    std::this_thread::sleep_for(fixture.caller_timeout);
     cr_assert(
         fixture.run_until([&] { return fixture.outcomes.contains("r1"); }));
     cr_assert(fixture.outcomes.at("r1").error().kind ==
@@ -167,14 +167,14 @@
 // Guards against leafs that work for callers who have left.
 Test(forward, work_for_a_caller_that_left_is_stopped) {
   DispatchFixture fixture;
-  fixture.all_of("desk", {.silent = true});
+  fixture.set_behaviour_of_service("desk", {.silent = true});
   const auto caller = fixture.begin("r1", "/page/1");
   cr_assert(
       fixture.run_until([&] { return fixture.leafs.times_run("r1") == 1; }));
   caller->cancel();
   cr_assert(fixture.run_until([&] { return fixture.outcomes.contains("r1"); }));
   cr_assert(fixture.outcomes.at("r1").error().kind == ErrorKind::kCancelled);
-  fixture.all_of("desk", {});
+  fixture.set_behaviour_of_service("desk", {});
   // The link of the call was closed: the next one dials.
   const int before = fixture.leafs.dials["desk-0"];
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
--- a/tests/dispatch/overload_test.cc
+++ b/tests/dispatch/overload_test.cc
@@ -27,7 +27,7 @@
   for (std::size_t i = 1; i <= DispatchFixture::kShards; ++i) {
     Behaviour behaviour;
     behaviour.work = work;
-    fixture.all_of("s" + std::to_string(i), behaviour);
+    fixture.set_behaviour_of_service("s" + std::to_string(i), behaviour);
   }
 }
 
--- a/tests/dispatch/scatter_test.cc
+++ b/tests/dispatch/scatter_test.cc
@@ -53,7 +53,7 @@
 
 Test(scatter, with_a_shard_gone_the_rest_is_answered_at_once) {
   DispatchFixture fixture;
-  fixture.all_of("s1", {.refuses_dials = true});
+  fixture.set_behaviour_of_service("s1", {.refuses_dials = true});
   cr_assert(fixture.run("r1", "/query/1").has_value());
   cr_assert(fixture.merged("r1").missing_shards == 1);
   cr_assert(fixture.merged("r1").receipts.size() == 3);
@@ -63,7 +63,7 @@
   DispatchFixture fixture;
   fixture.objective = milliseconds(100);
   fixture.configure(2);
-  fixture.all_of("s1", {.silent = true});
+  fixture.set_behaviour_of_service("s1", {.silent = true});
   cr_assert(fixture.run("r1", "/query/1").has_value());
   cr_assert(fixture.merged("r1").missing_shards == 1);
 }
@@ -73,7 +73,7 @@
   DispatchFixture fixture;
   fixture.objective = milliseconds(2000);
   fixture.configure(2);
-  fixture.all_of("s2", {.work = milliseconds(1200)});
+  fixture.set_behaviour_of_service("s2", {.work = milliseconds(1200)});
   fixture.leafs.behaviour["s1-0"] = {.work = milliseconds(900)};
   cr_assert(fixture.run("r1", "/query/1").has_value());
   const MergedAnswer& answer = fixture.merged("r1");
@@ -91,8 +91,9 @@
   fixture.objective = milliseconds(4000);
   fixture.configure(2);
   for (std::size_t i = 1; i <= DispatchFixture::kShards; ++i) {
-    fixture.all_of("s" + std::to_string(i),
-                   {.dial = milliseconds(1000), .work = milliseconds(600)});
+    fixture.set_behaviour_of_service(
+        "s" + std::to_string(i),
+        {.dial = milliseconds(1000), .work = milliseconds(600)});
   }
   cr_assert(fixture.run("r1", "/query/1").has_value());
   int dials = 0;
@@ -104,8 +105,8 @@
 
 Test(scatter, too_few_shards_is_no_answer_and_no_promise) {
   DispatchFixture fixture;
-  fixture.all_of("s1", {.resets = true});
-  fixture.all_of("s2", {.resets = true});
+  fixture.set_behaviour_of_service("s1", {.resets = true});
+  fixture.set_behaviour_of_service("s2", {.resets = true});
   const Outcome& outcome = fixture.run("r1", "/query/1");
   cr_assert(!outcome.has_value());
   cr_assert(outcome.error().execution == Execution::kUnknown);
@@ -128,7 +129,7 @@
 
 Test(scatter, a_failure_is_no_part_of_the_answer) {
   DispatchFixture fixture;
-  fixture.all_of("s1", {.fails = true});
+  fixture.set_behaviour_of_service("s1", {.fails = true});
   cr_assert(fixture.run("r1", "/query/1").has_value());
   for (const std::string& receipt : fixture.merged("r1").receipts) {
     cr_assert(!receipt.starts_with("s1-"));
@@ -140,7 +141,7 @@
   DispatchFixture fixture;
   fixture.objective = milliseconds(40);
   fixture.configure(2);
-  fixture.all_of("s1", {.resets = true});
+  fixture.set_behaviour_of_service("s1", {.resets = true});
   constexpr int kRequests = 40;
   for (int i = 0; i < kRequests; ++i) {
     fixture.run("r" + std::to_string(i), "/query/1");
