--- a/ibismux/reports/forward.h
+++ b/ibismux/reports/forward.h
@@ -4,9 +4,9 @@
 namespace ibismux::reports {
 
 struct LeafReport;
-class ReportBoard;
+class ReportAggregator;
 class ReportExchange;
-class ReportParty;
+class ReportClient;
 
 }  // namespace ibismux::reports
 
--- a/ibismux/reports/report_exchange.cc
+++ b/ibismux/reports/report_exchange.cc
@@ -12,19 +12,19 @@
 
 using peer::MessageKind;
 
-// Reports of half a second are enough to tell a slow leaf from a slow call.
-constexpr std::chrono::milliseconds kInterval{500};
-// As for updates from the store.
+// The calls of half a second suffice to tell a slow leaf from a slow call.
+constexpr std::chrono::milliseconds kReportInterval{500};
+// The same fan-out as for the distribution of updates from the store.
 constexpr std::size_t kFanOut = 32;
 
 }  // namespace
 
 ReportExchange::ReportExchange(boost::asio::io_context& loop,
                                peer::PeerNetwork& network,
-                               ReportParty& party,
+                               ReportClient& client,
                                eventlog::EventLog& log)
     : network(network),
-      party(party),
+      client(client),
       log(log),
       tree(1, kFanOut),
       timer(loop.get_executor()) {}
@@ -37,22 +37,22 @@
         const auto self = weak.lock();
         const auto reports = decode_reports(payload);
         if (self && reports) {
-          self->take(*reports);
+          self->handle_reports(*reports);
         } else if (self) {
           self->log.event(eventlog::Weight::kBelief, "leaf_reports_refused")
               .with("from", from.member)
               .with("reason", reports.error().message);
         }
       });
-  this->tick();
+  this->exchange_reports();
 }
 
 void ReportExchange::on_view(const membership::MembershipView& view) {
   this->tree.rebuild(view);
 }
 
-void ReportExchange::tick() {
-  const std::vector<LeafReport> own = this->party.take_reports();
+void ReportExchange::exchange_reports() {
+  const std::vector<LeafReport> own = this->client.take_reports();
   if (this->tree.parent()) {
     if (!own.empty()) {
       this->network.notify(*this->tree.parent(), MessageKind::kLeafReports,
@@ -61,33 +61,34 @@
   } else {
     const TimePoint now = Clock::now();
     for (const LeafReport& report : own) {
-      this->board.take(report, now);
+      this->aggregator.add(report, now);
     }
-    this->spread(this->board.summary(now));
+    this->distribute(this->aggregator.summary(now));
   }
-  this->timer.expires_after(kInterval);
-  http::await_timer(this->timer, this->weak_from_this(), &ReportExchange::tick);
+  this->timer.expires_after(kReportInterval);
+  http::await_timer(this->timer, this->weak_from_this(),
+                    &ReportExchange::exchange_reports);
 }
 
-void ReportExchange::take(const std::vector<LeafReport>& reports) {
-  // Without a parent this daemon is the hub, and what comes are reports; with
-  // one, it is what the hub sends down.
+void ReportExchange::handle_reports(const std::vector<LeafReport>& reports) {
+  // With a parent, this daemon receives the summaries of the root of the tree.
+  // Without one it is the root, and receives the reports of other daemons.
   if (this->tree.parent()) {
-    this->spread(reports);
+    this->distribute(reports);
     return;
   }
   const TimePoint now = Clock::now();
   for (const LeafReport& report : reports) {
-    this->board.take(report, now);
+    this->aggregator.add(report, now);
   }
 }
 
-void ReportExchange::spread(const std::vector<LeafReport>& reports) {
+void ReportExchange::distribute(const std::vector<LeafReport>& reports) {
   if (reports.empty()) {
     return;
   }
   for (const LeafReport& report : reports) {
-    this->party.on_report(report);
+    this->client.on_report(report);
   }
   const std::string payload = encode(reports);
   for (const std::string& child : this->tree.children()) {
--- a/ibismux/routing/split_rotation.cc
+++ b/ibismux/routing/weighted_round_robin.cc
@@ -1,10 +1,11 @@
-#include "ibismux/routing/split_rotation.h"
+#include "ibismux/routing/weighted_round_robin.h"
 
 #include <algorithm>
 
 namespace ibismux::routing {
 
-bool SplitRotation::is_for(const std::vector<WeightedService>& split) const {
+bool WeightedRoundRobin::matches(
+    const std::vector<WeightedService>& split) const {
   return std::equal(this->parts.begin(), this->parts.end(), split.begin(),
                     split.end(), [](const Part& part, const auto& target) {
                       return part.service == target.service &&
@@ -12,9 +13,9 @@
                     });
 }
 
-const std::string& SplitRotation::next(
+const std::string& WeightedRoundRobin::next(
     const std::vector<WeightedService>& split) {
-  if (!this->is_for(split)) {
+  if (!this->matches(split)) {
     this->parts.clear();
     for (const WeightedService& target : split) {
       this->parts.push_back({target.service, target.weight, 0});
@@ -22,13 +23,14 @@
   }
   double total = 0;
   for (Part& part : this->parts) {
-    part.credit += part.weight;
+    part.current_weight += part.weight;
     total += part.weight;
   }
   const auto chosen = std::max_element(
-      this->parts.begin(), this->parts.end(),
-      [](const Part& a, const Part& b) { return a.credit < b.credit; });
-  chosen->credit -= total;
+      this->parts.begin(), this->parts.end(), [](const Part& a, const Part& b) {
+        return a.current_weight < b.current_weight;
+      });
+  chosen->current_weight -= total;
   return chosen->service;
 }
 
--- a/tests/dispatch/allowed_regions_test.cc
+++ b/tests/dispatch/allowed_regions_test.cc
@@ -52,7 +52,7 @@
 // Guards against hedges and retries sent outside the allowed regions.
 Test(allowed_regions, hedges_and_retries_stay_in_allowed_regions) {
   RegionFixture fixture({"north"});
-  fixture.patience = milliseconds(100);
+  fixture.caller_timeout = milliseconds(100);
   fixture.leafs.behaviour["desk-1"].silent = true;
   cr_assert(fixture.run_many("/page/", 2) == 0);
   fixture.leafs.behaviour["desk-1"] = {.fails = true};
--- a/tests/dispatch/crashing_request_test.cc
+++ b/tests/dispatch/crashing_request_test.cc
@@ -71,7 +71,8 @@
   DispatchFixture fixture;
   for (int i = 0; i < 6; ++i) {
     for (const char* service : {"s1", "s2", "s3", "s4"}) {
-      fixture.all_of(service, {.work = std::chrono::milliseconds(50)});
+      fixture.set_behaviour_of_service(service,
+                                       {.work = std::chrono::milliseconds(50)});
     }
     const std::string id = "r" + std::to_string(i);
     fixture.begin(id, "/query/popular");
@@ -82,7 +83,7 @@
     fixture.run_until([&] { return fixture.outcomes.contains(id); });
     fixture.restart_ended_leafs();
     for (const char* service : {"s1", "s2", "s3", "s4"}) {
-      fixture.all_of(service, {});
+      fixture.set_behaviour_of_service(service, {});
     }
     cr_assert(fixture.run("again" + id, "/query/popular").has_value());
   }
@@ -93,7 +94,8 @@
 // request.
 Test(crashing_request, another_request_of_a_crashed_leaf_is_retried) {
   DispatchFixture fixture;
-  fixture.all_of("desk", {.work = std::chrono::milliseconds(50)});
+  fixture.set_behaviour_of_service("desk",
+                                   {.work = std::chrono::milliseconds(50)});
   fixture.leafs.crashing_target = "/page/bad";
   fixture.begin("good", "/page/good");
   fixture.begin("bad", "/page/bad");
--- a/tests/dispatch/dispatch_fixture.h
+++ b/tests/dispatch/dispatch_fixture.h
@@ -25,9 +25,10 @@
 /// A dispatcher over fake leafs: shards s1 to s4 and a service "desk", three
 /// leafs each, one in each zone. This daemon is in z0.
 ///
-/// Objectives are long, so that no test depends on how fast it runs; a test in
-/// which something is due after a time sets a short one, and waits for it
-/// without an upper bound but the generous limit.
+/// Objectives are long, so that no test depends on the speed of the machine. A
+/// test in which something must happen after some time sets a short objective,
+/// and waits for the event with no upper bound other than the generous
+/// `kLimit`.
 class DispatchFixture {
  public:
   static constexpr std::chrono::seconds kLimit{20};
@@ -54,7 +55,7 @@
     }
   }
 
-  /// Leafs whose process ended are back, as new runs under their ids.
+  /// Restarts the leafs whose process ended, as new runs under their old ids.
   void restart_ended_leafs() {
     for (const std::string& id : this->leafs.revive()) {
       directory::LeafEntry& entry = this->entries.at(id);
@@ -63,7 +64,7 @@
     }
   }
 
-  /// Puts a configuration in force.
+  /// Activates a configuration with this version.
   void configure(std::uint64_t version) {
     routing::Route query;
     query.name = "query";
@@ -93,12 +94,12 @@
       services.push_back({"s" + std::to_string(i), 40});
     }
     services.push_back({"desk", 40});
-    this->dispatcher.put_in_force(std::make_shared<const routing::RouteTable>(
+    this->dispatcher.activate(std::make_shared<const routing::RouteTable>(
         version, std::vector<routing::Route>{query, page, order}, services,
         routing::CallerLimits{}));
   }
 
-  /// A request that has just come.
+  /// A request received now.
   [[nodiscard]] CallerRequest request(const std::string& id,
                                       const std::string& path) const {
     CallerRequest request;
@@ -109,11 +110,11 @@
     message->target = path;
     request.message = std::move(message);
     request.received = Clock::now();
-    request.deadline = request.received + this->patience;
+    request.deadline = request.received + this->caller_timeout;
     return request;
   }
 
-  /// Runs a task of the dispatcher; its outcome comes to `outcomes`.
+  /// Starts a task of the dispatcher; its outcome is stored in `outcomes`.
   void spawn(const std::string& id, Task<Outcome> task) {
     boost::asio::co_spawn(
         this->loop, std::move(task),
@@ -122,7 +123,7 @@
         });
   }
 
-  /// Begins a request; its outcome comes to `outcomes`.
+  /// Starts a request; its outcome is stored in `outcomes`.
   std::shared_ptr<http::CancelToken> begin(const std::string& id,
                                            const std::string& path) {
     auto token = std::make_shared<http::CancelToken>();
@@ -134,19 +135,19 @@
     return ibismux::testing::run_until(this->loop, reached);
   }
 
-  /// Runs one request to its end.
+  /// Runs one request to completion.
   Outcome& run(const std::string& id, const std::string& path) {
     this->begin(id, path);
     this->run_until([&] { return this->outcomes.contains(id); });
     return this->outcomes.at(id);
   }
 
-  /// Runs `count` requests to their end, one after the other. @return How many
+  /// Runs `count` requests to completion, one after the other. @return How many
   /// of them were served.
   int run_many(const std::string& path, int count) {
     int served = 0;
     for (int i = 0; i < count; ++i) {
-      const std::string id = "many" + std::to_string(++this->many);
+      const std::string id = "many" + std::to_string(++this->run_many_count);
       served += this->run(id, path).has_value() ? 1 : 0;
     }
     return served;
@@ -156,20 +157,21 @@
     return std::get<MergedAnswer>(*this->outcomes.at(id));
   }
 
-  void all_of(const std::string& service, Behaviour behaviour) {
+  void set_behaviour_of_service(const std::string& service,
+                                Behaviour behaviour) {
     for (int i = 0; i < 3; ++i) {
       this->leafs.behaviour[service + "-" + std::to_string(i)] = behaviour;
     }
   }
 
-  /// Of all routes, from the next `configure()` on.
+  /// Allowed regions of all routes from the next `configure()` on.
   std::vector<std::string> allowed_regions;
   std::chrono::milliseconds objective{20'000};
   std::chrono::milliseconds time_limit{50'000};
-  std::chrono::milliseconds patience{50'000};
+  std::chrono::milliseconds caller_timeout{50'000};
 
   boost::asio::io_context loop;
-  int many = 0;  ///< Requests of `run_many()`.
+  int run_many_count = 0;  ///< Requests run by `run_many()`.
   prometheus::Registry registry;
   eventlog::EventLog log{this->loop, {.descriptor = -1}};
   FakeLeafs leafs;
@@ -177,7 +179,7 @@
   Dispatcher dispatcher{this->loop, this->leafs, this->settings, this->registry,
                         this->log};
   std::map<std::string, Outcome> outcomes;
-  std::map<std::string, directory::LeafEntry> entries;  ///< By leaf.
+  std::map<std::string, directory::LeafEntry> entries;  ///< By leaf id.
 };
 
 }  // namespace ibismux::dispatch::testing
--- a/tests/dispatch/forward_test.cc
+++ b/tests/dispatch/forward_test.cc
@@ -49,7 +49,7 @@
 // reset.
 Test(forward, at_most_once_is_not_sent_again_after_a_byte_was_sent) {
   DispatchFixture fixture;
-  fixture.all_of("desk", {.resets = true});
+  fixture.set_behaviour_of_service("desk", {.resets = true});
   const Outcome& outcome = fixture.run("r1", "/order/1");
   cr_assert(outcome.error().execution == Execution::kUnknown);
   cr_assert(fixture.leafs.times_run("r1") == 1);
@@ -71,7 +71,7 @@
 
 Test(forward, if_all_leafs_are_full_the_error_says_not_run) {
   DispatchFixture fixture;
-  fixture.all_of("desk", {.sheds = true});
+  fixture.set_behaviour_of_service("desk", {.sheds = true});
   const Outcome& outcome = fixture.run("r1", "/order/1");
   cr_assert(outcome.error().execution == Execution::kNotRun);
   cr_assert(outcome.error().retry_after.has_value());
@@ -88,7 +88,7 @@
 
 Test(forward, the_routes_maximum_of_attempts_is_respected) {
   DispatchFixture fixture;
-  fixture.all_of("desk", {.fails = true});
+  fixture.set_behaviour_of_service("desk", {.fails = true});
   const Outcome& outcome = fixture.run("r1", "/page/1");
   // The leaf's own error response is more specific than an error of the daemon.
   cr_assert(std::get<LeafAnswer>(*outcome).status == 500);
@@ -143,8 +143,8 @@
 
 Test(forward, a_silent_leaf_leads_to_an_unknown_outcome_at_the_deadline) {
   DispatchFixture fixture;
-  fixture.patience = std::chrono::milliseconds(60);
-  fixture.all_of("desk", {.silent = true});
+  fixture.caller_timeout = std::chrono::milliseconds(60);
+  fixture.set_behaviour_of_service("desk", {.silent = true});
   const Outcome& outcome = fixture.run("r1", "/order/1");
   cr_assert(outcome.error().execution == Execution::kUnknown);
   cr_assert(fixture.leafs.times_run("r1") == 1);
@@ -155,12 +155,12 @@
 Test(forward, a_silent_leaf_is_a_timeout_even_if_the_daemon_is_late) {
   for (const char* path : {"/order/1", "/page/1"}) {
     DispatchFixture fixture;
-    fixture.patience = std::chrono::milliseconds(400);
-    fixture.all_of("desk", {.silent = true});
+    fixture.caller_timeout = std::chrono::milliseconds(400);
+    fixture.set_behaviour_of_service("desk", {.silent = true});
     fixture.begin("r1", path);
     cr_assert(
         fixture.run_until([&] { return fixture.leafs.times_run("r1") > 0; }));
-    std::this_thread::sleep_for(fixture.patience);
+    std::this_thread::sleep_for(fixture.caller_timeout);
     cr_assert(
         fixture.run_until([&] { return fixture.outcomes.contains("r1"); }));
     cr_assert(fixture.outcomes.at("r1").error().kind ==
@@ -171,14 +171,14 @@
 // Guards against leafs that keep working for callers that have disconnected.
 Test(forward, calls_of_a_disconnected_caller_are_cancelled) {
   DispatchFixture fixture;
-  fixture.all_of("desk", {.silent = true});
+  fixture.set_behaviour_of_service("desk", {.silent = true});
   const auto caller = fixture.begin("r1", "/page/1");
   cr_assert(
       fixture.run_until([&] { return fixture.leafs.times_run("r1") == 1; }));
   caller->cancel();
   cr_assert(fixture.run_until([&] { return fixture.outcomes.contains("r1"); }));
   cr_assert(fixture.outcomes.at("r1").error().kind == ErrorKind::kCancelled);
-  fixture.all_of("desk", {});
+  fixture.set_behaviour_of_service("desk", {});
   // The connection of the cancelled call was closed, so a later call has to
   // dial.
   const int before = fixture.leafs.dials["desk-0"];
