--- a/ibismux/dispatch/call_queue.cc
+++ b/ibismux/dispatch/call_queue.cc
@@ -29,8 +29,8 @@
 void CallQueue::offer(const std::function<bool()>& room) {
   std::optional<Place> place = this->next(std::nullopt);
   for (; place && room(); place = this->next(place)) {
-    // Out of the queue while it runs: it may end calls that wait here, itself
-    // too.
+    // Removed from the queue while `start` runs, because `start` may end
+    // waiting calls, including this one.
     Start start = this->take(*place);
     if (!start()) {
       this->lanes[place->priority].emplace(place->number, std::move(start));
--- a/ibismux/dispatch/call_queue.h
+++ b/ibismux/dispatch/call_queue.h
@@ -11,64 +11,66 @@
 
 namespace ibismux::dispatch {
 
-/// Calls to one service that wait until one of its leafs has room.
+/// Priority queue of calls to one service that wait for a leaf with capacity.
 ///
-/// Who waits here can still be dropped when its caller leaves, when its query
-/// has enough answers, or when something more urgent comes. What waits in a
-/// leaf's own queue is worked on all the same.
+/// A call in this queue can still be removed when its caller disconnects or its
+/// query has enough answers, and a more urgent call can overtake it. A call in
+/// a leaf's own queue is executed in any case.
 ///
 ///     const auto place = queue.join(priority, send, Clock::now());
-///     queue.leave(place);      // Its caller is gone.
-///     queue.offer(room);       // A leaf has room.
+///     queue.leave(place);      // The caller has disconnected.
+///     queue.offer(room);       // A leaf has capacity.
 ///
 /// Belongs to one event loop; not thread safe.
 class CallQueue {
  public:
-  /// Where a call waits. Never used twice in one queue.
+  /// Identifies a waiting call. Never reused within one queue.
   struct Place {
     std::uint32_t priority = 0;
     std::uint64_t number = 0;
   };
 
-  /// Begins a call. @return False where it can't begin: what has room has had
-  /// it already.
+  /// Starts a call. @return False if it can't be started because it has already
+  /// been tried at the leafs that have capacity.
   using Start = std::function<bool()>;
 
-  /// Waits behind all of the same priority, and before all of a higher number.
-  /// @param start Called when there is room; the call leaves the queue if it
-  /// returns true, and keeps its place if not.
+  /// Adds a call behind all calls of the same priority and ahead of all calls
+  /// with a higher priority number.
+  /// @param start Called when there is capacity. If it returns true, the call
+  /// is removed from the queue; otherwise the call keeps its position.
   [[nodiscard]] Place join(std::uint32_t priority, Start start, TimePoint now);
 
-  /// Gives a place up. Nothing happens where the call has been started.
+  /// Removes a call. Does nothing if the call has been started.
   void leave(const Place& place);
 
-  /// Starts calls in their order while `room()` says so. Each is tried once: a
-  /// call that waits for another leaf than the one with room must not be
-  /// offered it again and again, nor hold up those behind it.
+  /// Starts calls in queue order while `room()` returns true. Each call is
+  /// tried once: a call that needs another leaf than the one with capacity must
+  /// neither be retried in a loop nor block the calls behind it.
   void offer(const std::function<bool()>& room);
 
   [[nodiscard]] bool empty() const noexcept { return this->lanes.empty(); }
 
-  /// For how long somebody has waited here without a break. A short queue comes
-  /// and goes with each burst; one that stands is more work than the leafs do.
+  /// For how long the queue has been non-empty without interruption. A burst
+  /// fills the queue only briefly; a queue that stays non-empty means that more
+  /// work arrives than the leafs can process.
   [[nodiscard]] Duration standing(TimePoint now) const noexcept {
     return this->lanes.empty() ? Duration::zero() : now - this->since;
   }
 
-  /// How many calls a new one of `priority` would wait behind.
+  /// The number of calls that a new call of `priority` would wait behind.
   [[nodiscard]] std::size_t ahead_of(std::uint32_t priority) const noexcept;
 
  private:
   using Lane = std::map<std::uint64_t, Start>;
 
-  /// The first call behind `place`, as where it stands; nothing behind the
-  /// last.
+  /// The first call after `place`, or the first of all if `place` is absent;
+  /// absent after the last call.
   [[nodiscard]] std::optional<Place> next(
       const std::optional<Place>& place) const;
   [[nodiscard]] Start take(const Place& place);
 
-  std::map<std::uint32_t, Lane> lanes;  ///< By priority; none is empty.
-  TimePoint since = TimePoint::min();   ///< When the first of them joined.
+  std::map<std::uint32_t, Lane> lanes;  ///< By priority; no lane is empty.
+  TimePoint since = TimePoint::min();   ///< When the queue became non-empty.
   std::uint64_t next_number = 0;
 };
 
--- a/ibismux/dispatch/call_window.cc
+++ b/ibismux/dispatch/call_window.cc
@@ -7,12 +7,13 @@
 
 namespace {
 
-// A leaf whose calls take this many times what they take without a queue has as
-// many waiting as it works on. More of them there add to the wait and to
-// nothing else. Much less, and pauses and slow leafs pass for load.
+// At this multiple of the unloaded latency a leaf has as many calls waiting as
+// executing, and further calls add only to the queueing delay. With a much
+// lower threshold, pauses and slow leafs would be mistaken for load.
 constexpr double kLoadedTimes = 2;
-// Weight of one call in the average, and the most that one counts for: a pause
-// or a heavy request catches one or two calls in a row and is no queue.
+// Weight of one call in the average, and the maximum ratio that one call counts
+// for: a pause or an expensive request affects one or two calls in a row and
+// doesn't indicate a queue.
 constexpr double kWeight = 0.35;
 constexpr double kMostLoad = 5;
 
@@ -24,8 +25,8 @@
                            TimePoint now) {
   const double ratio = to_seconds(took) / std::max(to_seconds(unloaded), 1e-6);
   this->load += (std::min(ratio, kMostLoad) - this->load) * kWeight;
-  // A single call of ours makes no queue; somebody else's does, or the leaf is
-  // slow.
+  // With a single call in flight from this daemon, the latency is due to calls
+  // of other daemons or to a slow leaf; reducing the window wouldn't help.
   if (this->load > kLoadedTimes && in_flight > 1) {
     this->limit.on_overload(now);
   } else {
--- a/ibismux/dispatch/call_window.h
+++ b/ibismux/dispatch/call_window.h
@@ -8,19 +8,20 @@
 
 namespace ibismux::dispatch {
 
-/// How many calls one daemon lets a leaf have at once, learnt from how long
-/// they take.
+/// Adaptive limit on the concurrent calls of one daemon to one leaf, derived
+/// from the latency of those calls.
 ///
-/// Daemons don't know of each other's calls, and a leaf works on few at once.
-/// What is more than it works on waits in its queue, where nothing can be
-/// dropped any more and nothing urgent goes first; what is more than its queue
-/// holds is turned away. So calls wait at the daemon as soon as they take long
-/// for the load.
+/// Daemons don't know of each other's calls, and a leaf executes only a few
+/// calls at once. Further calls wait in the leaf's queue, where they can
+/// neither be cancelled nor overtaken by more urgent ones; calls beyond the
+/// capacity of that queue are rejected. The limit therefore falls as soon as
+/// latency shows queueing at the leaf, so that calls wait at the daemon
+/// instead.
 ///
-/// Holds no clock. Not thread safe.
+/// Doesn't read the clock. Not thread safe.
 class CallWindow {
  public:
-  /// The most that the window may grow to: the links that the daemon may have.
+  /// The upper bound of the window: the links that the daemon may have.
   void set_most(std::size_t most) { this->limit.declare(most); }
 
   /// At least 1.
@@ -28,22 +29,21 @@
     return static_cast<std::size_t>(this->limit.limit());
   }
 
-  /// @param unloaded What the call takes while leafs have no queues.
-  /// @param in_flight Calls that the leaf had from this daemon, this one
-  /// included.
+  /// @param unloaded Latency of such a call while leafs have no queues.
+  /// @param in_flight Calls of this daemon at the leaf, including this one.
   void on_answer(Duration took,
                  Duration unloaded,
                  std::size_t in_flight,
                  TimePoint now);
 
-  /// The leaf had no room for a call.
+  /// The leaf rejected a call for lack of capacity.
   void on_turned_away(TimePoint now) { this->limit.on_overload(now); }
 
  private:
   static constexpr double kCeiling = 1;
 
   concurrency::AimdLimit limit{1, kCeiling};
-  double load = 1;  ///< What calls take, in times the unloaded time.
+  double load = 1;  ///< Moving average of latency / unloaded latency.
 };
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/cold_limit.cc
+++ b/ibismux/dispatch/cold_limit.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Longer than the second in which leafs count: calls that start apart may
-// arrive closer together.
+// Longer than the 1 s over which leafs measure the rate, because calls may
+// arrive closer together than they were started.
 constexpr std::chrono::milliseconds kWindow{1200};
 
 }  // namespace
--- a/ibismux/dispatch/cold_limit.h
+++ b/ibismux/dispatch/cold_limit.h
@@ -13,51 +13,53 @@
 
 struct LinkSharers;
 
-/// Calls that one daemon may start at a cold leaf within any `window`.
+/// Rate limit for the calls of one daemon to a cold leaf: at most `calls`
+/// within any `window`.
 struct ColdShare {
-  std::size_t calls = 0;  ///< 0: none.
+  std::size_t calls = 0;  ///< 0: no call may start.
   Duration window{0};
 };
 
-/// This daemon's part of the requests that a cold leaf bears, without any
-/// message between daemons: parts of all add up to no more than `rate`. Where
-/// the rate is lower than the number of daemons, only so many of them use the
-/// leaf, others for each leaf. Thread safe.
+/// Computes this daemon's share of the request rate that a cold leaf tolerates,
+/// without any message between daemons: the shares of all daemons add up to at
+/// most `rate`. If the rate is lower than the number of daemons, only as many
+/// daemons as the rate allows use the leaf, and a different subset for each
+/// leaf. Thread safe.
 ///
-/// @param rate Requests a second that the leaf bears from all daemons.
-/// Precondition: greater than 0.
-/// @param leaf Tells leafs apart; the same on all daemons.
+/// @param rate Requests per second that the leaf tolerates from all daemons
+/// together. Precondition: greater than 0.
+/// @param leaf Identifies the leaf; the same on all daemons.
 [[nodiscard]] ColdShare cold_share(double rate,
                                    const LinkSharers& sharers,
                                    std::uint64_t leaf) noexcept;
 
-/// Keeps the calls of this daemon at one leaf within its share while the leaf
-/// is cold: one that gets more than it bears then crashes.
+/// Limits the calls of this daemon to one leaf to its share while the leaf is
+/// cold: a cold leaf that gets more calls than it tolerates crashes.
 ///
-/// Not thread safe. The times given never go back.
+/// Not thread safe. Time arguments must not decrease.
 class ColdLimit {
  public:
-  /// Replaces the share. A share without a window sets no limit.
+  /// Replaces the share. A share with a zero window sets no limit.
   void set_share(ColdShare share) noexcept { this->share = share; }
 
-  /// The leaf itself says how long it is cold from now on.
+  /// The leaf reports that it is cold until `until`.
   void set_told(TimePoint until) noexcept { this->told_until = until; }
 
-  /// The leaf must be taken to be cold, whatever it has said.
+  /// The leaf counts as cold until `until`, whatever it has reported.
   void assume(TimePoint until) noexcept { this->assumed_until = until; }
 
   /// Whether a call may start now.
   [[nodiscard]] bool allows(TimePoint now) const noexcept;
 
-  /// Whether no call may start here before the leaf is warm.
+  /// Whether no call may start before the leaf is warm.
   [[nodiscard]] bool is_closed(TimePoint now) const noexcept {
     return this->limits(now) && this->share.calls == 0;
   }
 
-  /// When the next call may start; not before `now`.
+  /// The earliest time at which the next call may start; at least `now`.
   [[nodiscard]] TimePoint next(TimePoint now) const noexcept;
 
-  /// A call starts. Precondition: `allows(now)`.
+  /// Records the start of a call. Precondition: `allows(now)`.
   void on_call(TimePoint now);
 
  private:
@@ -67,13 +69,13 @@
   [[nodiscard]] TimePoint warm_at() const noexcept {
     return std::max(this->told_until, this->assumed_until);
   }
-  /// When the oldest of as many calls as may start has left the window.
+  /// When the oldest of the last `share.calls` calls leaves the window.
   [[nodiscard]] TimePoint free_at() const noexcept;
 
   ColdShare share;
   TimePoint told_until = TimePoint::min();
   TimePoint assumed_until = TimePoint::min();
-  std::deque<TimePoint> recent;  ///< Calls within the last window.
+  std::deque<TimePoint> recent;  ///< Start times, at most `share.calls`.
 };
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/leaf.cc
+++ b/ibismux/dispatch/leaf.cc
@@ -17,19 +17,20 @@
 namespace asio = boost::asio;
 using std::chrono::milliseconds;
 
-// Longer than a leaf's pause and a lost first packet on a short way; a host
-// without power answers nothing at all.
+// Longer than a pause of a leaf and than the retransmission of a lost SYN on a
+// low-latency path; a host without power doesn't answer at all.
 constexpr milliseconds kDialTime{400};
-// A host whose leaf has ended refuses a connection at once. The call that was
-// lost waits this long at most to be sent again.
+// A host whose leaf process has ended refuses a connection immediately. This
+// check delays the retry of a lost call by at most this long.
 constexpr milliseconds kCauseTime{40};
-// A crashed leaf is back within seconds at the earliest; a short first pause
-// finds one that only reset its connections.
+// A crashed leaf needs at least seconds to restart; the short first pause
+// detects a leaf that has only reset its connections.
 constexpr milliseconds kFirstEjection{100};
 constexpr milliseconds kLongestEjection{1000};
-// One call without an answer may be that call's own misfortune.
+// A single call without an answer may be specific to that call.
 constexpr std::uint32_t kLossesToEject = 2;
-// A call that was given up before this many times the usual says nothing.
+// A call that was cancelled before this multiple of the typical latency tells
+// nothing about the leaf.
 constexpr int kPatienceTimes = 4;
 
 }  // namespace
@@ -83,7 +84,8 @@
 void Leaf::end_run() {
   this->run_ended = true;
   this->retire();
-  // Closing a link ends its call only later, on the loop.
+  // Closing a link ends its call later, on the event loop; `pending` doesn't
+  // change during the iteration.
   for (const auto& [number, call] : this->pending) {
     call.link->close();
   }
@@ -95,8 +97,8 @@
   }
   this->links.set_closed(out || this->retired);
   if (!out) {
-    // Leafs may have become cold while they got nothing; what their entries
-    // say of it may still be on its way.
+    // Leafs may have become cold while they got no calls, and the entries that
+    // report it may not have arrived yet.
     this->cold.assume(Clock::now() + this->warmup);
   }
 }
@@ -259,10 +261,10 @@
                       const Order& order,
                       TimePoint now) {
   const Duration waited = now - *ticket;
-  // What was given up, by us or by its caller's short deadline, before a leaf
-  // could be expected to answer says nothing of the leaf: after an outage
-  // callers' last attempts have little time left, and would get healthy leafs
-  // ejected.
+  // A call that was cancelled or reached its deadline before the leaf could be
+  // expected to answer tells nothing about the leaf. After an outage the last
+  // attempts of callers have little time left, and would otherwise get healthy
+  // leafs ejected.
   const bool in_a_hurry =
       order.active->given_up || error.kind == ErrorKind::kDeadlineExceeded;
   if (in_a_hurry && waited < order.usual * kPatienceTimes) {
@@ -320,8 +322,8 @@
 }
 
 Task<void> Leaf::probe(std::shared_ptr<Leaf> self) {
-  // A dial, not a request: it tells a leaf that is gone from one that lives
-  // without any caller waiting for the result.
+  // Probes with a connection attempt instead of a request: it shows whether the
+  // leaf is alive without making a caller wait for the result.
   http::Timer timer(self->loop.get_executor());
   Duration pause = kFirstEjection;
   for (std::uint32_t i = 1; i < self->losses && pause < kLongestEjection; ++i) {
@@ -348,7 +350,7 @@
 void Leaf::come_back() {
   this->ejected = false;
   if (std::exchange(this->was_down, false)) {
-    // The entry of a new run comes later than its first connection.
+    // The leaf accepts connections before the entry of its new run arrives.
     this->cold.assume(Clock::now() + this->warmup);
   }
   this->log.event(eventlog::Weight::kBelief, "leaf_back")
--- a/ibismux/dispatch/leaf.h
+++ b/ibismux/dispatch/leaf.h
@@ -25,14 +25,15 @@
 
 namespace ibismux::dispatch {
 
-/// One call under way at a leaf, for whoever may want to give it up.
+/// One call in flight at a leaf, shared with the code that may cancel it.
 struct ActiveCall {
-  LeafLink* link = nullptr;  ///< Set while the call is on the link.
-  /// When it left on an open link; absent while one is being dialled.
+  LeafLink* link = nullptr;  ///< Set while the link carries the call.
+  /// When the call was sent; absent while its link is being dialled.
   std::optional<TimePoint> sent_at;
   bool given_up = false;
 
-  /// Ends the call at once: its link is closed, and the leaf drops the work.
+  /// Cancels the call immediately by closing its link; the leaf then drops the
+  /// work.
   void give_up() noexcept {
     this->given_up = true;
     if (this->link) {
@@ -44,34 +45,37 @@
 /// How a call ended.
 struct CallEnd {
   Result<LeafReply> reply;
-  bool sent = false;  ///< A byte of the request may have reached the leaf.
-  /// The leaf's process has ended with the call under way.
+  bool sent = false;  ///< The leaf may have received part of the request.
+  /// The leaf's process ended while the call was in flight.
   bool leaf_ended = false;
 };
 
-/// One leaf as this daemon sees it: its links, its health, what is under way.
+/// One leaf as seen by this daemon: its links, its health and its calls in
+/// flight.
 ///
-/// Belongs to one event loop; not thread safe. Held by shared pointers: calls
-/// under way outlive the leaf's entry.
+/// Belongs to one event loop; not thread safe. Held by shared pointers because
+/// calls in flight may outlive the leaf's entry.
 class Leaf : public std::enable_shared_from_this<Leaf> {
  public:
-  /// What one call needs besides the leaf.
+  /// A call to be started at the leaf.
   struct Order {
     std::shared_ptr<const LeafCall> call;
     std::shared_ptr<ActiveCall> active;
-    Duration usual;     ///< What such a call takes at the median leaf.
-    Duration unloaded;  ///< The same while leafs have no queues.
-    /// The leaf was found unresponsive while the call waits. Called at most
-    /// once.
+    Duration usual;     ///< Latency of such a call at the median leaf.
+    Duration unloaded;  ///< The same without queueing at the leafs.
+    /// Called at most once, if the leaf is found unresponsive while the call
+    /// waits for its answer.
     std::function<void()> on_unresponsive;
-    /// Tells whether a lost call should find out if the leaf has ended; null:
-    /// no.
+    /// Decides whether to check if the leaf's process has ended after the call
+    /// was lost; if null, there is no such check.
     std::shared_ptr<const quarantine::CrashWatch> crashes;
     std::function<void(CallEnd)> on_end;
   };
 
-  /// @param on_free Called when a link became free or the leaf came back.
-  /// @param loop, connector, log, policy Outlive the leaf and its calls.
+  /// @param on_free Called when the leaf may have capacity again: a call ended,
+  /// a link was opened ahead, the cold limit allows the next call, or an
+  /// ejection ended.
+  /// @param loop, connector, log, policy Must outlive the leaf and its calls.
   Leaf(boost::asio::io_context& loop,
        const LeafConnector& connector,
        eventlog::EventLog& log,
@@ -84,23 +88,23 @@
   }
   void update(const directory::LeafEntry& entry);
 
-  /// The leaf has left, or its address belongs to another one. No call begins
-  /// here any more; those under way go on.
+  /// Takes the leaf out of service for good, because it has left or another
+  /// leaf has its address. No further call may start; calls in flight continue.
   void retire();
 
-  /// The run of the leaf has ended: retires it, and ends its calls under way as
-  /// lost. They would wait for their deadlines otherwise, on connections of
-  /// which no process knows any more.
+  /// Retires the leaf because its run has ended, and ends its calls in flight
+  /// as lost. Otherwise they would wait until their deadlines on connections to
+  /// a process that no longer exists.
   void end_run();
 
-  /// Whether the leaf's zone is evacuated: no call begins here then, and no
-  /// link stays open; calls under way go on.
+  /// Sets whether the leaf's zone is evacuated. If so, no call may start and
+  /// idle links are closed; calls in flight continue.
   void set_evacuated(bool out);
 
-  /// @name Whether and how well it can take a call
+  /// @name Availability
   /// @{
 
-  /// May be given calls at all.
+  /// Whether the leaf may get calls at all.
   [[nodiscard]] bool in_service() const noexcept {
     return !this->retired && !this->known.draining && !this->ejected &&
            !this->evacuated;
@@ -115,14 +119,15 @@
     return this->orders < this->most_calls() && this->links.has_room(now) &&
            this->cold.allows(now);
   }
-  /// Is cold, and gets no call of this daemon before it is warm.
+  /// Whether the leaf is cold and this daemon may not call it before it is
+  /// warm.
   [[nodiscard]] bool is_closed_while_cold(TimePoint now) const noexcept {
     return this->cold.is_closed(now);
   }
-  /// Tells that the leaf is free, as if a call had ended, once its limit while
-  /// it is cold lets the next call start. Nothing happens where it does now.
+  /// Calls `on_free` once the cold limit allows the next call. Does nothing if
+  /// it allows one now.
   void announce_when_warmer();
-  /// How many calls this daemon lets the leaf have at once, at least 1.
+  /// The maximum number of concurrent calls of this daemon; at least 1.
   [[nodiscard]] std::size_t most_calls() const noexcept {
     return this->policy.learn_window ? this->window.size()
                                      : this->links.granted().most;
@@ -131,20 +136,21 @@
   [[nodiscard]] const LeafEstimate& estimate() const noexcept {
     return this->numbers;
   }
-  /// Calls that are under way or wait for their link.
+  /// Calls of this daemon that are in flight or wait for their link.
   [[nodiscard]] std::size_t busy() const noexcept { return this->orders; }
-  /// How long until an ejected leaf is tried again, or one that is closed while
-  /// it is cold is warm; zero where neither is so.
+  /// Time until an ejected leaf is probed again, or until a leaf that may not
+  /// be called while it is cold is warm; zero if neither applies.
   [[nodiscard]] Duration until_retry(TimePoint now) const noexcept;
   /// @}
 
-  /// How many links this daemon may have to the leaf, and whether idle ones
-  /// stay open.
+  /// Sets how many links this daemon may have to the leaf, and whether idle
+  /// links stay open.
   void grant_links(LinkGrant grant);
-  /// How long the leaf is cold when it starts, and this daemon's share of what
-  /// it bears until it is warm.
+  /// @param time How long the leaf is cold after it has started.
+  /// @param share This daemon's share of the rate that the cold leaf tolerates.
   void set_warmup(Duration time, ColdShare share);
-  /// Whether this daemon keeps links here; elsewhere the leaf is a last resort.
+  /// Whether this daemon keeps idle links to the leaf. If not, the leaf is only
+  /// a last resort.
   [[nodiscard]] bool keeps_links() const noexcept {
     return this->links.granted().keep;
   }
@@ -157,29 +163,29 @@
   /// has to find that out.
   [[nodiscard]] static Task<void> open_ahead(std::shared_ptr<Leaf> self);
 
-  /// Begins a call. Precondition: `has_room()`.
+  /// Starts a call. Precondition: `has_room()`.
   void start(Order order);
 
-  /// Calls wait here without any answer: tells all of them, so that one call
-  /// that waits too long has those that came after it hedged as well.
+  /// Calls `on_unresponsive` of all calls in flight, so that a call that has
+  /// waited too long causes the calls after it to be hedged as well.
   void report_unresponsive(TimePoint now);
 
  private:
   [[nodiscard]] static Task<void> run(std::shared_ptr<Leaf> self, Order order);
   [[nodiscard]] static Task<CallEnd> exchange(std::shared_ptr<Leaf> self,
                                               Order& order);
-  /// A new link; a leaf that can't be dialled is ejected.
+  /// Opens a new link. Ejects the leaf if it can't be dialled.
   [[nodiscard]] static Task<Result<LinkPool::Acquired>> dial(
       std::shared_ptr<Leaf> self,
       TimePoint deadline);
   [[nodiscard]] static Task<void> probe(std::shared_ptr<Leaf> self);
-  /// Opens a link, and keeps it.
+  /// Opens a link and adds it to the idle links.
   [[nodiscard]] static Task<Result<void>> open_idle(std::shared_ptr<Leaf> self,
                                                     Duration time);
-  /// After a connection was lost: whether the leaf's process has ended.
+  /// Checks after a lost connection whether the leaf's process has ended.
   [[nodiscard]] static Task<bool> has_ended(std::shared_ptr<Leaf> self);
 
-  /// @param first_use The link was opened for this call.
+  /// @param first_use No call went over the link before.
   void judge(const CallEnd& end,
              LeafEstimate::Ticket ticket,
              const Order& order,
@@ -190,7 +196,8 @@
                   const Order& order,
                   TimePoint now);
   void note_connection_limit(TimePoint now);
-  /// No connection can be made. @param reason For the log.
+  /// Ejects the leaf because no connection can be made. @param reason For the
+  /// log.
   void note_down(std::string_view reason);
   void tell_free() { this->on_free(); }
   void eject(std::string_view reason);
@@ -208,24 +215,24 @@
   CallWindow window;
 
   bool retired = false;
-  bool run_ended = false;  ///< Its entry names a later run.
+  bool run_ended = false;  ///< The leaf's entry names a later run.
   ColdLimit cold;
   Duration warmup{0};
   http::Timer warmer;  ///< For `announce_when_warmer()`.
   bool ejected = false;
-  /// No connection could be made since the leaf was ejected: its process may
-  /// have started again.
+  /// A connection attempt has failed, so that the leaf's process may have been
+  /// restarted.
   bool was_down = false;
   bool evacuated = false;
-  std::uint32_t losses = 0;  ///< Calls and dials in a row without any answer.
+  std::uint32_t losses = 0;  ///< Consecutive calls without an answer.
   TimePoint retry_at = TimePoint::min();
 
-  /// A call that was sent and not answered yet.
+  /// A call that was sent and has not been answered.
   struct Pending {
     LeafLink* link = nullptr;
     std::function<void()> on_unresponsive;  ///< Empty once it was called.
   };
-  std::map<std::uint64_t, Pending> pending;  ///< By a number of their own.
+  std::map<std::uint64_t, Pending> pending;  ///< By sequence number.
   std::uint64_t next_pending = 0;
 };
 
--- a/ibismux/dispatch/leaf_cost.cc
+++ b/ibismux/dispatch/leaf_cost.cc
@@ -7,14 +7,17 @@
 
 namespace {
 
-// What dialling costs before a call can be sent; leafs take 1 to 6 ms for it.
+// Cost of opening a connection before the call can be sent; leafs take 1 to 6
+// ms to accept one.
 constexpr std::chrono::milliseconds kDialCost{6};
-// What a leaf that fails all its calls costs, in times the objective.
+// Cost of a leaf that fails all its calls, as a multiple of the objective.
 constexpr double kFailureCost = 2;
-// A leaf to which this daemon keeps no links is worth a dial, and a connection
-// beyond its share, only where the others are as good as lost.
+// Cost, as a multiple of the objective, of a leaf to which this daemon keeps no
+// links. Such a leaf is worth a dial and a connection beyond the daemon's share
+// only if the other leafs are practically unusable.
 constexpr double kLastResortCost = 0.05;
-// A leaf that has just started works slower than its peers by about this.
+// A leaf that is still warming up is slower than its peers by about this
+// factor.
 constexpr double kColdRatio = 1.6;
 
 }  // namespace
--- a/ibismux/dispatch/leaf_cost.h
+++ b/ibismux/dispatch/leaf_cost.h
@@ -7,22 +7,23 @@
 
 namespace ibismux::dispatch {
 
-/// What a choice between leafs looks at.
+/// State of a leaf that load balancing takes into account.
 struct LeafState {
-  double ratio = 1;          ///< How many times the usual its calls take.
-  double failure_share = 0;  ///< Of its late calls.
-  std::size_t busy = 0;      ///< Calls that it has from this daemon.
-  std::size_t slots = 1;     ///< Calls that it works on at once.
-  bool cold = false;         ///< Has only just started.
-  bool remote = false;       ///< In another zone.
-  bool keeps_links = true;   ///< This daemon keeps links to it.
+  double ratio = 1;          ///< Latency relative to the typical latency.
+  double failure_share = 0;  ///< Of recent calls; 0 to 1.
+  std::size_t busy = 0;      ///< Calls of this daemon at the leaf.
+  std::size_t slots = 1;     ///< Calls that the leaf executes at once.
+  bool cold = false;         ///< The leaf is still warming up.
+  bool remote = false;       ///< In another zone than this daemon.
+  bool keeps_links = true;   ///< This daemon keeps idle links to it.
   bool has_idle_link = true;
 };
 
-/// What a call costs at a leaf, in time: the least is asked. Thread safe.
+/// Estimated cost of a call at a leaf, expressed as time. The leaf with the
+/// lowest cost gets the call. Thread safe.
 ///
-/// @param usual What such a call takes at the median leaf.
-/// @param objective Within which its caller wants the answer.
+/// @param usual Latency of such a call at the median leaf.
+/// @param objective Latency objective of the caller.
 /// @param remote_cost See `DispatchSettings`.
 [[nodiscard]] Duration leaf_cost(const LeafState& leaf,
                                  Duration usual,
--- a/ibismux/dispatch/leaf_estimate.h
+++ b/ibismux/dispatch/leaf_estimate.h
@@ -10,49 +10,51 @@
 
 namespace ibismux::dispatch {
 
-/// How one leaf performs, from the calls of this daemon alone: how slow it is
-/// against its peers, whether it is unresponsive now, and how often it fails.
+/// Performance estimate of one leaf: how slow it is relative to its peers,
+/// whether it is unresponsive now, and how often it fails. It is based on the
+/// calls of this daemon, the reports of its peers and the load that the leaf
+/// reports.
 ///
-/// A leaf that pauses answers nothing for a while, then everything. One call
-/// without an answer for some times the usual says so long before its own
-/// deadline, and it says so for all calls: who waits there is sent elsewhere,
-/// and who comes next doesn't go there. Pauses are told from slowness, which
-/// goes on while answers come: a call that was caught in a pause counts only
-/// `kMostRatio` times the usual, so that one pause doesn't drive the leaf's
-/// traffic away after its end.
+/// A leaf that pauses answers nothing for a while and then everything. One call
+/// without an answer for a few times the typical latency reveals the pause long
+/// before the deadline of the call, and for all calls: waiting calls are sent
+/// to other leafs, and new calls avoid this one. Unlike a paused leaf, a slow
+/// leaf goes on answering. A call that was caught in a pause counts as at most
+/// `kMostRatio` times the typical latency, so that one pause doesn't divert the
+/// leaf's traffic after it has ended.
 ///
-/// Not thread safe. The times given never go back.
+/// Not thread safe. Time arguments must not decrease.
 class LeafEstimate {
  public:
-  /// Names one call that is under way.
+  /// Identifies one call in flight.
   using Ticket = std::multiset<TimePoint>::iterator;
 
   /// @name Calls
   /// @{
   [[nodiscard]] Ticket sent(TimePoint now);
-  /// @param usual What a call of this kind takes at the median leaf.
+  /// @param usual Latency of a call of this kind at the median leaf.
   void answered(Ticket ticket, Duration usual, TimePoint now);
-  /// The leaf answered that it failed, or refused.
+  /// The leaf answered that the call failed or was rejected.
   void failed(Ticket ticket, TimePoint now);
-  /// The call ended without an answer of any kind.
+  /// The call ended without any answer.
   void lost(Ticket ticket, TimePoint now);
   /// @}
 
-  /// The leaf said this of its load in an answer that came just now.
+  /// Records the load that the leaf reported in an answer that just arrived.
   void note_load(const LeafLoad& load, TimePoint now) noexcept;
 
-  /// What the daemons of the zone see together.
+  /// Aggregated observations of the daemons of the zone.
   struct PeerReport {
     double excess = 0;    ///< The ratio above 1.
     double failures = 0;  ///< Share of the calls.
-    double samples = 0;   ///< Calls that it rests on.
-    /// In which half of it is forgotten where no further report comes.
+    double samples = 0;   ///< Calls that it is based on.
+    /// Time in which its weight halves if no further report arrives.
     Duration half_life{0};
   };
   void merge_report(const PeerReport& report, TimePoint now);
 
-  /// What this daemon saw since the last call: calls, and the sums of their
-  /// ratios above 1 and of their failures.
+  /// Observations of this daemon since the last `take_seen()`: the number of
+  /// calls, and the sums of their ratios above 1 and of their failures.
   struct Seen {
     double samples = 0;
     double excess = 0;
@@ -61,19 +63,20 @@
   [[nodiscard]] Seen take_seen() noexcept {
     return std::exchange(this->seen, {});
   }
-  /// Peers report the leaf to be slow or failing.
+  /// Whether peers report that the leaf is slow or failing.
   [[nodiscard]] bool has_peer_report(TimePoint now) const noexcept;
 
-  /// Whether calls wait and no answer has come for `patience`.
+  /// Whether calls are in flight and no answer has arrived for `patience`.
   [[nodiscard]] bool is_unresponsive(Duration patience,
                                      TimePoint now) const noexcept;
 
-  /// What a call takes here, as a multiple of the usual: by the calls so far or
-  /// by the leaf's own word of its load, whichever is more. Falls back towards
-  /// 1 with time, so that a leaf which recovered is tried again.
+  /// Expected latency of a call as a multiple of the typical latency: the
+  /// higher of the estimate from observed calls and the estimate from the load
+  /// that the leaf reports. Decays towards 1, so that a leaf that has recovered
+  /// is tried again.
   [[nodiscard]] double ratio(TimePoint now) const noexcept;
 
-  /// Share of the late calls that failed, 0 to 1; forgotten with time as well.
+  /// Share of recent calls that failed, 0 to 1; decays with time as well.
   [[nodiscard]] double failure_share(TimePoint now) const noexcept;
 
   [[nodiscard]] std::size_t under_way() const noexcept {
@@ -81,43 +84,44 @@
   }
 
  private:
-  // One call counts at most this many times the usual.
+  // Maximum ratio that one call counts for.
   static constexpr double kMostRatio = 5;
-  // Weight of a new sample: four calls in a row move the estimate by half.
+  // Weight of a new sample: four calls in a row halve the distance to the new
+  // value.
   static constexpr double kWeight = 0.16;
-  // After this time without calls half of what is held against a leaf is
-  // forgotten. Troubles of leafs last seconds.
+  // Half-life of the estimate while there are no calls. Problems of leafs last
+  // seconds.
   static constexpr double kHalfLifeSeconds = 2.5;
 
-  // A report counts as at most this many calls of this daemon's own.
+  // A peer report weighs at most as much as this many calls of this daemon.
   static constexpr double kMostReportSamples = 12;
-  // And in full for so long: it comes again twice a second while leafs are
-  // called.
+  // A peer report keeps its full weight for this long; while leafs are called,
+  // a new one arrives twice a second.
   static constexpr std::chrono::milliseconds kReportFreshFor{1500};
-  // Less of it than this is as good as nothing.
+  // A peer report of less than this remaining weight is ignored.
   static constexpr double kLeastReportWeight = 0.1;
 
-  // Half of what a leaf said of its load is forgotten in this time: queues and
-  // the pace of a shared machine change many times a second.
+  // Half-life of the load that a leaf reported: queue lengths and the speed of
+  // a shared machine change many times a second.
   static constexpr double kLoadHalfLifeSeconds = 0.1;
 
   [[nodiscard]] double fading(TimePoint now) const noexcept;
   [[nodiscard]] double told_excess(TimePoint now) const noexcept;
   [[nodiscard]] double peer_report_fading(TimePoint now) const noexcept;
-  /// This daemon's own figure and the reported one, each by its weight.
+  /// The weighted mean of this daemon's own value and the reported one.
   [[nodiscard]] double blend(double own,
                              double reported,
                              TimePoint now) const noexcept;
   void end(Ticket ticket, double ratio, double failure, TimePoint now);
 
-  std::multiset<TimePoint> waiting;  ///< When the calls under way were sent.
+  std::multiset<TimePoint> waiting;  ///< Send times of the calls in flight.
   TimePoint last_answer = TimePoint::min();
   double excess = 0;  ///< The ratio above 1, as of `updated`.
   double failures = 0;
   TimePoint updated = TimePoint::min();
-  double own_samples = 0;  ///< Decayed as the figures are.
+  double own_samples = 0;  ///< Decays as `excess` and `failures` do.
 
-  double load_excess = 0;  ///< The ratio above 1 by the leaf's own word.
+  double load_excess = 0;  ///< The ratio above 1 that the leaf's load implies.
   TimePoint load_at = TimePoint::min();
 
   PeerReport peer_report;
--- a/ibismux/dispatch/leaf_link.h
+++ b/ibismux/dispatch/leaf_link.h
@@ -15,12 +15,12 @@
 
 namespace ibismux::dispatch {
 
-/// One request on its way to one leaf.
+/// One request to one leaf.
 struct LeafCall {
   std::shared_ptr<const http::Request> message;
   std::string request_id;
-  /// The id of the leaf that is meant. Another one that has its address since
-  /// answers that it isn't the one, and runs nothing.
+  /// The id of the intended leaf. If another leaf has taken over the address,
+  /// it answers `kOtherInstance` and doesn't execute the request.
   std::string leaf_id;
   TimePoint deadline;
 };
@@ -29,41 +29,43 @@
 struct LeafReply {
   enum class Kind : unsigned char {
     kSuccess,
-    kFailure,        ///< The leaf took the request up and failed, or may have.
-    kNotRun,         ///< The leaf says that it hasn't run it and won't.
-    kOtherInstance,  ///< Another leaf has the address; not run.
+    kFailure,        ///< The leaf failed after it started, or may have started.
+    kNotRun,         ///< The leaf hasn't executed the call and won't.
+    kOtherInstance,  ///< Another leaf has the address; not executed.
   };
 
   Kind kind = Kind::kFailure;
   LeafAnswer answer;
-  /// Absent where the leaf doesn't tell, or not so that it can be read.
+  /// Absent if the leaf doesn't report its load or the report is unreadable.
   std::optional<LeafLoad> load;
   bool has_unreadable_load = false;
 };
 
-/// One connection to one leaf; one call at a time.
+/// One connection to one leaf; carries one call at a time.
 ///
 /// Belongs to one event loop; not thread safe.
 class LeafLink {
  public:
   virtual ~LeafLink() = default;
 
-  /// Connects. Precondition: not open. An error is always kNotRun.
+  /// Connects. Precondition: not open. The execution of an error is always
+  /// kNotRun.
   [[nodiscard]] virtual Task<Result<void>> open(TimePoint deadline) = 0;
 
-  /// Sends `call` and reads its reply. Precondition: `usable()`. An error says
-  /// kNotRun only where no byte was sent; the link is closed after any error.
+  /// Sends `call` and reads its reply. Precondition: `usable()`. The execution
+  /// of an error is kNotRun only if no byte was sent. Any error closes the
+  /// link.
   [[nodiscard]] virtual Task<Result<LeafReply>> call(
       std::shared_ptr<const LeafCall> call) = 0;
 
-  /// Open, and between calls.
+  /// Whether the link is open and carries no call.
   [[nodiscard]] virtual bool usable() const noexcept = 0;
 
-  /// Closes at once; a call in progress ends with kCancelled.
+  /// Closes the link immediately; a call in progress ends with kCancelled.
   virtual void close() noexcept = 0;
 };
 
-/// Makes links to leafs. Thread safe.
+/// Creates links to leafs. Thread safe.
 class LeafConnector {
  public:
   virtual ~LeafConnector() = default;
--- a/ibismux/dispatch/leaf_load.h
+++ b/ibismux/dispatch/leaf_load.h
@@ -6,13 +6,14 @@
 
 namespace ibismux::dispatch {
 
-/// What a leaf says of its own load, as of one of its answers.
+/// Load that a leaf reports in an answer.
 struct LeafLoad {
-  std::uint32_t running = 0;  ///< Requests that it works on.
+  std::uint32_t running = 0;  ///< Requests being executed.
   std::uint32_t waiting = 0;  ///< Requests in its queue.
-  std::uint32_t slots = 1;  ///< Requests that it works on at once, at least 1.
-  /// How many times the usual work takes on its machine at this moment. Absent
-  /// where the leaf doesn't know.
+  std::uint32_t slots =
+      1;  ///< Maximum of concurrently executed requests; >= 1.
+  /// Current duration of work on the leaf's machine relative to the normal
+  /// duration. Absent if the leaf doesn't know it.
   std::optional<double> slowdown;
 };
 
--- a/ibismux/dispatch/link_opener.cc
+++ b/ibismux/dispatch/link_opener.cc
@@ -14,14 +14,16 @@
 
 using std::chrono::milliseconds;
 
-// While links are missing: a hundred dials a second, which leave a slow host
-// time for its callers.
+// Interval while links are missing: 100 dials per second, which leave a slow
+// host time for its callers.
 constexpr milliseconds kPace{20};
 constexpr std::size_t kDialsATick = 2;
-// A leaf that doesn't answer a dial must not hold up the others, and many of
-// those must not use up what the process may have open.
+// Concurrent dials: a leaf that doesn't answer a dial must not delay the
+// others, and many such leafs must not exhaust the file descriptors of the
+// process.
 constexpr std::size_t kMostOpening = 16;
-// While none is missing. A link that was lost is noticed this much later.
+// Interval while no link is missing; a lost link is noticed after at most this
+// long.
 constexpr milliseconds kIdlePace{250};
 
 }  // namespace
@@ -31,7 +33,7 @@
 
 void LinkOpener::add(std::shared_ptr<Leaf> leaf) {
   this->leafs.push_back(std::move(leaf));
-  // One step of a shuffle for each leaf that comes.
+  // Incremental Fisher-Yates shuffle.
   std::uniform_int_distribution<std::size_t> place(0, this->leafs.size() - 1);
   std::swap(this->leafs.back(), this->leafs[place(this->random)]);
 }
--- a/ibismux/dispatch/link_opener.h
+++ b/ibismux/dispatch/link_opener.h
@@ -14,43 +14,44 @@
 
 namespace ibismux::dispatch {
 
-/// Opens links to leafs before calls need them: after the start, at new leafs,
-/// for a new cut of the index, and again where a link was lost.
+/// Opens links to leafs before calls need them: after the daemon starts, to new
+/// leafs, for a new sharding of the index, and as a replacement for lost links.
 ///
-/// A query goes to all shards at once. Where links are opened on demand, the
-/// first query of a daemon dials them all, and each daemon of a large fleet
-/// sees few queries.
+/// A query goes to all shards at once. If links were opened on demand, the
+/// first query of a daemon would dial all of them, and each daemon of a large
+/// fleet gets few queries.
 ///
-/// Dials are paced, so that calls at hand and leafs' slots, which a new
-/// connection takes up for a moment, have room; and each daemon goes through
-/// the leafs in an order of its own, so that daemons which start together don't
-/// dial the same leaf at the same moment.
+/// Dials are paced, because they compete with current calls and a new
+/// connection occupies a slot of the leaf for a moment. Each daemon dials the
+/// leafs in its own random order, so that daemons that start together don't
+/// dial the same leaf at the same time.
 ///
 /// Belongs to one event loop; not thread safe.
 class LinkOpener : public std::enable_shared_from_this<LinkOpener> {
  public:
-  /// @param loop Outlives the opener.
-  /// @param seed Of this daemon's order.
+  /// @param loop Must outlive the opener.
+  /// @param seed Determines the order in which this daemon dials the leafs.
   LinkOpener(boost::asio::io_context& loop, std::uint64_t seed);
 
-  /// Looks after the links of `leaf` from now on, until it is retired.
+  /// Opens links to `leaf` from now on, until it is retired.
   void add(std::shared_ptr<Leaf> leaf);
 
-  /// Begins. Called once.
+  /// Starts opening links. Must be called at most once.
   void start();
 
  private:
   void tick();
-  /// Begins as many dials as one tick may. @return Whether there were any.
+  /// Starts the dials of one tick. @return Whether any dial was started, or the
+  /// limit of concurrent dials is reached.
   bool open_some(TimePoint now);
   [[nodiscard]] static Task<void> open(std::shared_ptr<LinkOpener> self,
                                        std::shared_ptr<Leaf> leaf);
 
   boost::asio::io_context& loop;
   pcg32 random;
-  std::vector<std::shared_ptr<Leaf>> leafs;  ///< In this daemon's order.
-  std::size_t next = 0;                      ///< Where the next look begins.
-  std::size_t opening = 0;                   ///< Dials under way.
+  std::vector<std::shared_ptr<Leaf>> leafs;  ///< In the order of this daemon.
+  std::size_t next = 0;     ///< The last leaf that was examined.
+  std::size_t opening = 0;  ///< Dials in progress.
   http::Timer timer;
 };
 
--- a/ibismux/dispatch/link_plan.cc
+++ b/ibismux/dispatch/link_plan.cc
@@ -8,33 +8,34 @@
 
 namespace {
 
-// Part of a leaf's connections that daemons use; the rest is for links that are
-// just closing and for daemons that were replaced a moment ago.
+// Share of a leaf's connection limit that daemons use; the rest is for links
+// that are being closed and for daemons that have just been replaced.
 constexpr double kUsable = 0.9;
-// Replicas of a shard to which a daemon keeps links where it can: a second one
-// answers for the first, a third seldom.
+// Number of replicas of a shard to which a daemon keeps links if the limits
+// allow it: the second replaces a failed first one; a third is rarely needed.
 constexpr std::size_t kReplicasWanted = 2;
-// Part of a leaf's connections that is kept open where only some daemons keep
-// links to so many replicas. Less than `kUsable`: the hedges of the others dial
-// too.
+// Share of a leaf's connection limit that is kept open if only some daemons can
+// keep links to `kReplicasWanted` replicas. Less than `kUsable`, because hedged
+// calls of the other daemons open connections too.
 constexpr double kUsableForSome = 0.8;
-// Part of a leaf's connections that are opened ahead of calls. A fleet that
-// loses power leaves its connections behind, and leafs hold them until they
-// have been idle for long enough: those of before and those of after must have
-// room at once.
+// Share of a leaf's connection limit that is opened ahead of calls. After a
+// power loss of the fleet, leafs hold the old connections until their idle
+// timeout, so that the old and the new connections must fit at the same time.
 constexpr double kOpenedAhead = 0.45;
-// Links of all daemons together for each slot of a leaf, and the fewest for one
-// daemon: one at work, one waiting, one for a call that pauses.
+// Links of all daemons together per slot of a leaf, and the minimum for one
+// daemon: one for a call being executed, one for a waiting call, and one for a
+// call caught in a pause.
 constexpr double kLinksPerSlot = 2;
 constexpr double kLeastUseful = 3;
 
-// Part of a leaf's connections for daemons that gather queries for others,
-// where there are any; the others need theirs when they gather by themselves.
+// Share of a leaf's connection limit for the daemons that gather queries for
+// others, if there are any; the others need the rest when they gather queries
+// themselves.
 constexpr double kPartOfGatherers = 0.5;
 
-// Where a daemon's even part is below two links. Idle links are what fills a
-// leaf's connections, so a daemon may open more than its part for calls at
-// hand, and keeps its part only.
+// Links per leaf if an even share is less than two links per daemon. A leaf's
+// connection limit is mostly used up by idle links, so a daemon may open more
+// than its share for current calls, but keeps only its share.
 constexpr std::size_t kScarceLinks = 1;
 
 std::size_t whole(double number) {
@@ -45,7 +46,7 @@
   return static_cast<double>(replica.connections) * kUsable;
 }
 
-/// The replicas in the order in which this daemon prefers them.
+/// Indices of the replicas in this daemon's order of preference.
 std::vector<std::size_t> order(const std::vector<Replica>& replicas,
                                const LinkSharers& sharers) {
   std::vector<std::size_t> indices(replicas.size());
@@ -59,7 +60,7 @@
   return indices;
 }
 
-/// @param open_ahead Where the limit is known.
+/// @param open_ahead Applies only if the connection limit is known.
 LinkGrant even_grant(const Replica& replica, double hosts, bool open_ahead) {
   if (replica.connections == 0) {
     return {};
@@ -73,7 +74,7 @@
           .open_ahead = open_ahead};
 }
 
-/// Connections of all replicas for each daemon.
+/// Connections to all replicas per daemon.
 double connections_each(const std::vector<Replica>& replicas,
                         const LinkSharers& sharers) {
   double connections = 0;
@@ -83,18 +84,18 @@
   return connections / static_cast<double>(sharers.hosts);
 }
 
-/// `room` replicas for each daemon, where that isn't a whole number: one more
-/// for the part of the daemons that makes up the rest.
+/// Rounds `room`, the average number of replicas per daemon, for the daemon of
+/// this rank: the fraction is the share of the daemons that get one more.
 std::size_t whole_for(double room, std::size_t rank) {
-  // Multiples of the golden ratio spread any run of ranks evenly over [0, 1),
-  // whatever else the rank decides.
+  // The fractional parts of multiples of the golden ratio spread any sequence
+  // of ranks evenly over [0, 1), independently of other decisions by rank.
   constexpr double kGoldenRatio = 0.6180339887498949;
   const double place = static_cast<double>(rank) * kGoldenRatio;
   const bool one_more = place - std::floor(place) < room - std::floor(room);
   return whole(room) + (one_more ? 1 : 0);
 }
 
-/// How many replicas a daemon keeps links to.
+/// The number of replicas to which a daemon keeps links.
 std::size_t replicas_kept(double each, std::size_t rank) {
   const std::size_t all = whole(each * kUsable);
   if (all >= kReplicasWanted) {
@@ -103,7 +104,7 @@
   return std::max<std::size_t>(1, whole_for(each * kUsableForSome, rank));
 }
 
-/// The plan where all of `sharers` have about the same number of calls.
+/// The plan if all of `sharers` make about the same number of calls.
 std::vector<LinkGrant> plan_alike(const std::vector<Replica>& replicas,
                                   const LinkSharers& sharers) {
   const double hosts = std::max<double>(1, static_cast<double>(sharers.hosts));
--- a/ibismux/dispatch/link_plan.h
+++ b/ibismux/dispatch/link_plan.h
@@ -10,58 +10,59 @@
 
 namespace ibismux::dispatch {
 
-/// One leaf of a service, as a plan of links needs it.
+/// One leaf of a service, as input to `plan_links()`.
 struct Replica {
   std::string zone;
-  std::size_t connections = 0;  ///< Accepted from all daemons; 0: unknown.
-  std::size_t slots = 1;        ///< Requests that it works on at once.
+  std::size_t connections = 0;  ///< Limit for all daemons; 0: unknown.
+  std::size_t slots = 1;        ///< Requests that it executes at once.
 };
 
 /// The daemons that share a service's leafs.
 struct LinkSharers {
   std::size_t hosts = 1;  ///< All daemons.
-  std::size_t rank = 0;   ///< This daemon's place in an order of all of them.
-  std::string zone;       ///< This daemon's.
+  std::size_t rank = 0;   ///< Of this daemon among all of them, from 0.
+  std::string zone;       ///< Of this daemon.
   /// Daemons that gather queries for others, and whether this one does.
   std::size_t gatherers = 0;
   bool gathers = false;
-  /// Daemons of each zone; empty: unknown.
+  /// Number of daemons per zone; empty: unknown.
   ZoneSizes hosts_by_zone;
 
   [[nodiscard]] bool operator==(const LinkSharers&) const = default;
-  /// Some daemons gather queries, for others that don't.
+  /// Whether some daemons gather queries for others that don't.
   [[nodiscard]] bool has_roles() const noexcept {
     return this->gatherers > 0 && this->gatherers < this->hosts;
   }
 };
 
-/// What a daemon may do at one leaf.
+/// Links that a daemon may have to one leaf.
 struct LinkGrant {
   std::size_t most = 1;
-  /// Idle links stay open. Elsewhere the leaf is only for calls that no other
-  /// leaf can take, and the link is closed behind each.
+  /// Whether idle links stay open. If not, the leaf is used only for calls that
+  /// no other leaf can take, and the link is closed after each call.
   bool keep = true;
-  /// One is opened before a call needs it. Only where the leaf's limit and the
-  /// number of daemons are known: else all of a large fleet would do so at
-  /// every leaf.
+  /// Whether a link is opened before a call needs it. Only if the connection
+  /// limit of the leaf and the number of daemons are known: otherwise every
+  /// daemon of a large fleet would open a link to every leaf.
   bool open_ahead = false;
 };
 
-/// Divides the connections that a service's leafs accept among all daemons,
-/// without any message between them: a leaf resets connections beyond its
-/// limit, and the requests on them with it.
+/// Divides the connections that the leafs of a service accept among all
+/// daemons, without any message between them. A leaf resets connections beyond
+/// its limit, and the requests on them are lost.
 ///
-/// Where there are two and more for each daemon, all get the same. Where there
-/// are fewer, each daemon keeps links to some of the replicas only: first to
-/// those of its own zone, then to others by its rank, so that every daemon has
-/// as many replicas of every service as there is room for, and every replica
-/// about as many daemons. Where there is room for a part of one more, that part
-/// of the daemons has it, chosen by rank.
+/// If each daemon can have two or more links to each leaf, all daemons get the
+/// same number. Otherwise each daemon keeps links to only some of the replicas:
+/// first to those of its own zone, then to others by its rank, so that every
+/// daemon reaches as many replicas of every service as the limits allow and the
+/// daemons are spread evenly over the replicas. If the number of replicas per
+/// daemon isn't whole, the fraction determines which part of the daemons,
+/// chosen by rank, keeps links to one more.
 ///
-/// Nor are there ever many more links than a leaf can work on: what waits at
-/// the daemon can still be dropped when its caller leaves or has enough
-/// answers; what waits in the leaf's own queue is worked on all the same, and
-/// makes the next ones late.
+/// The number of links is also limited to little more than a leaf can execute:
+/// a call that waits at the daemon can still be dropped when its caller
+/// disconnects or has enough answers, but a call in the queue of a leaf is
+/// executed in any case and delays those behind it.
 ///
 /// Thread safe.
 [[nodiscard]] std::vector<LinkGrant> plan_links(
--- a/ibismux/dispatch/link_pool.cc
+++ b/ibismux/dispatch/link_pool.cc
@@ -12,8 +12,8 @@
 
 using std::chrono::milliseconds;
 
-// Between dials to a leaf that resets them: callers' requests last some tenths
-// of a second, and so does a leaf's queue.
+// Backoff between dials to a leaf that resets connections: requests of callers
+// take some tenths of a second, and so does the queue of a leaf to drain.
 constexpr milliseconds kFirstDialPause{200};
 constexpr milliseconds kLongestDialPause{1600};
 
--- a/ibismux/dispatch/link_pool.h
+++ b/ibismux/dispatch/link_pool.h
@@ -16,78 +16,81 @@
 
 namespace ibismux::dispatch {
 
-/// This daemon's links to one leaf: those that are open and idle, how many
-/// there may be, and when another one may be dialled.
+/// Connection pool of this daemon for one leaf: holds the idle links, limits
+/// the number of links, and decides when another link may be dialled.
 ///
 /// Belongs to one event loop; not thread safe.
 class LinkPool {
  public:
-  /// A link that is open.
+  /// An open link.
   struct Acquired {
     std::unique_ptr<LeafLink> link;
-    bool is_new = false;  ///< No call went over it yet.
+    bool is_new = false;  ///< It has not carried a call.
   };
 
-  /// @param connector Outlives the pool.
-  /// @param seed Spreads the pauses of daemons.
+  /// @param connector Must outlive the pool.
+  /// @param seed For the jitter that spreads the dials of different daemons.
   LinkPool(const LeafConnector& connector, std::uint64_t seed);
 
-  /// @name How many links there may be
+  /// @name Limits
   /// @{
   void grant(LinkGrant grant);
   [[nodiscard]] const LinkGrant& granted() const noexcept {
     return this->grant_in_force;
   }
-  /// While closed no link is kept or opened ahead of calls.
+  /// While closed, idle links are not kept and no link is opened ahead of
+  /// calls.
   void set_closed(bool closed) noexcept;
   /// @}
 
   /// @name State
   /// @{
   [[nodiscard]] bool has_idle() const noexcept { return !this->idle.empty(); }
-  /// Links that are idle, in use or being opened.
+  /// The number of links that are idle, in use or being opened.
   [[nodiscard]] std::size_t open() const noexcept { return this->open_links; }
-  /// A call would find a link, or could open one.
+  /// Whether an idle link is available or another one may be opened.
   [[nodiscard]] bool has_room(TimePoint now) const noexcept {
     return this->has_idle() || (this->open_links < this->grant_in_force.most &&
                                 !this->is_at_connection_limit(now));
   }
-  /// The leaf has all the connections that it accepts, or that it bears now.
+  /// Whether the leaf is assumed to be at its connection limit.
   [[nodiscard]] bool is_at_connection_limit(TimePoint now) const noexcept {
     return now < this->no_dial_before;
   }
-  /// Whether a link should be opened before a call needs it: links are kept
-  /// here, and none is open. Idle links that the leaf has closed are dropped.
+  /// Whether a link should be opened ahead of calls: the grant says so and no
+  /// link is open. Drops idle links that the leaf has closed.
   [[nodiscard]] bool wants_link(TimePoint now);
   /// @}
 
   /// @name Links
   /// @{
-  /// An idle link, if there is one.
+  /// Takes an idle link out of the pool, if there is one.
   [[nodiscard]] std::optional<Acquired> take_idle();
-  /// A new link. The pool outlives the task.
+  /// Opens a new link. The pool must outlive the task. The execution of an
+  /// error is always kNotRun.
   [[nodiscard]] Task<Result<Acquired>> dial(const directory::LeafEntry& entry,
                                             TimePoint deadline);
-  /// Keeps a link that was acquired, or closes it.
-  /// @param used A call went over it.
+  /// Returns an acquired link to the pool, which keeps or closes it.
+  /// @param used The link has carried a call.
   void give_back(std::unique_ptr<LeafLink> link, bool used);
   /// @}
 
-  /// @name What calls tell of the leaf
+  /// @name Call results
   /// @{
-  /// A leaf that has all the connections it bears resets those that come
-  /// beyond, right after they were made. Dialled again at once, with others
-  /// doing the same, it does nothing else.
+  /// Records that a new connection was reset: a leaf at its connection limit
+  /// resets further connections right after accepting them. If all daemons
+  /// dialled again immediately, the leaf would do nothing else, so that
+  /// dialling pauses with exponential backoff and jitter.
   /// @return How long no link is dialled.
   Duration note_connection_limit(TimePoint now);
-  /// The leaf has answered: its limit isn't reached.
+  /// Records an answer of the leaf, which resets the backoff.
   void note_answer() noexcept { this->dial_pause = Duration::zero(); }
   /// @}
 
  private:
   struct IdleLink {
     std::unique_ptr<LeafLink> link;
-    bool used = false;  ///< A call went over it since it was opened.
+    bool used = false;  ///< It has carried a call.
   };
 
   void close_idle() noexcept;
@@ -99,7 +102,7 @@
   std::vector<IdleLink> idle;
   ReopenPause reopen;
 
-  // While dials are reset after they were accepted.
+  // Backoff while the leaf resets new connections.
   TimePoint no_dial_before = TimePoint::min();
   Duration dial_pause{0};
   pcg32 random;
--- a/ibismux/dispatch/reopen_pause.h
+++ b/ibismux/dispatch/reopen_pause.h
@@ -8,39 +8,40 @@
 
 namespace ibismux::dispatch {
 
-/// When a link that was opened ahead of calls, and that the leaf closed before
-/// any came, is opened again.
+/// Exponential backoff for reopening links that were opened ahead of calls and
+/// that the leaf closed before they carried a call.
 ///
-/// Leafs close idle connections, some after less time than lies between two
-/// calls of a daemon. Opened again at once each time, such links would be all
-/// that the leaf's connections and this host's processor are spent on; so the
-/// pause doubles with each link that ended unused, and the first call ends it.
+/// Leafs close idle connections, some of them after less time than passes
+/// between two calls of a daemon. Reopening such links immediately would use up
+/// the connections of the leaf and the CPU time of this host. The pause
+/// therefore doubles with each link that ended unused, and the first call
+/// resets it.
 ///
-/// Not thread safe. The times given never go back.
+/// Not thread safe. Time arguments must not decrease.
 class ReopenPause {
  public:
-  /// A link ended over which no call ever went.
+  /// A link was closed without having carried a call.
   void on_unused_end(TimePoint now) noexcept {
     this->pause = std::clamp<Duration>(this->pause * 2, kFirst, kLongest);
     this->until = now + this->pause;
   }
 
-  /// A call went over a link.
+  /// A link has carried a call.
   void on_use() noexcept {
     this->pause = Duration::zero();
     this->until = TimePoint::min();
   }
 
-  /// Whether a link may be opened ahead now.
+  /// Whether a link may be opened ahead of calls now.
   [[nodiscard]] bool is_over(TimePoint now) const noexcept {
     return now >= this->until;
   }
 
  private:
-  // About the shortest time after which leafs close idle connections.
+  // About the shortest idle timeout of leafs.
   static constexpr std::chrono::milliseconds kFirst{1000};
-  // Some minutes' worth of links in an hour without calls, and never so late
-  // that a daemon which gets calls again waits long for its links.
+  // Long enough that an hour without calls costs few reopened links, and short
+  // enough that a daemon that gets calls again soon has its links.
   static constexpr std::chrono::milliseconds kLongest{30'000};
 
   Duration pause{0};
