--- a/ibismux/dispatch/cold_limit.h
+++ b/ibismux/dispatch/cold_limit.h
@@ -75,7 +75,7 @@
   ColdShare share;
   TimePoint told_until = TimePoint::min();
   TimePoint assumed_until = TimePoint::min();
-  std::deque<TimePoint> recent;  ///< Start times, at most `share.calls`.
+  std::deque<TimePoint> recent;  ///< Start times of the latest calls.
 };
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/leaf.cc
+++ b/ibismux/dispatch/leaf.cc
@@ -17,8 +17,8 @@
 namespace asio = boost::asio;
 using std::chrono::milliseconds;
 
-// Longer than a pause of a leaf and than the retransmission of a lost SYN on a
-// low-latency path; a host without power doesn't answer at all.
+// Longer than a pause of a leaf and than the delay from a lost first packet on
+// a low-latency path; a host without power doesn't answer at all.
 constexpr milliseconds kDialTime{400};
 // A host whose leaf process has ended refuses a connection immediately. This
 // check delays the retry of a lost call by at most this long.
--- a/ibismux/dispatch/leaf.h
+++ b/ibismux/dispatch/leaf.h
@@ -159,8 +159,8 @@
   [[nodiscard]] bool wants_link(TimePoint now) {
     return this->in_service() && this->links.wants_link(now);
   }
-  /// Opens one, and keeps it. A leaf that can't be dialled is ejected: no call
-  /// has to find that out.
+  /// Opens a link and adds it to the idle links. Ejects the leaf if it can't be
+  /// dialled, so that no call has to detect that.
   [[nodiscard]] static Task<void> open_ahead(std::shared_ptr<Leaf> self);
 
   /// Starts a call. Precondition: `has_room()`.
@@ -220,8 +220,8 @@
   Duration warmup{0};
   http::Timer warmer;  ///< For `announce_when_warmer()`.
   bool ejected = false;
-  /// A connection attempt has failed, so that the leaf's process may have been
-  /// restarted.
+  /// A connection attempt has failed since the leaf was last reinstated: its
+  /// process may have been restarted.
   bool was_down = false;
   bool evacuated = false;
   std::uint32_t losses = 0;  ///< Consecutive calls without an answer.
--- a/ibismux/dispatch/reopen_pause.h
+++ b/ibismux/dispatch/reopen_pause.h
@@ -40,8 +40,8 @@
  private:
   // About the shortest idle timeout of leafs.
   static constexpr std::chrono::milliseconds kFirst{1000};
-  // Long enough that an hour without calls costs few reopened links, and short
-  // enough that a daemon that gets calls again soon has its links.
+  // An hour without calls costs as many links as a few minutes would without
+  // pauses, and a daemon that gets calls again doesn't wait long for its links.
   static constexpr std::chrono::milliseconds kLongest{30'000};
 
   Duration pause{0};
--- a/tests/dispatch/call_queue_test.cc
+++ b/tests/dispatch/call_queue_test.cc
@@ -15,7 +15,7 @@
   std::string started;
   int room = 0;
 
-  /// A call that takes the place of room that there is.
+  /// Adds a call that uses one unit of capacity when it starts.
   CallQueue::Place join(std::uint32_t priority, char name) {
     return this->queue.join(
         priority,
@@ -33,15 +33,15 @@
   }
 };
 
-/// A call that can't use the room there is.
-CallQueue::Start picky(int& tries) {
+/// A call that can't be started with the available capacity.
+CallQueue::Start unstartable(int& tries) {
   return [&tries] {
     ++tries;
     return false;
   };
 }
 
-Test(call_queue, goes_by_priority_and_then_by_arrival) {
+Test(call_queue, orders_by_priority_and_then_by_arrival) {
   Fixture fixture;
   fixture.join(2, 'c');
   fixture.join(1, 'a');
@@ -53,7 +53,7 @@
   cr_assert(fixture.started == "abcd");
 }
 
-Test(call_queue, who_left_is_not_started) {
+Test(call_queue, a_removed_call_is_not_started) {
   Fixture fixture;
   const CallQueue::Place first = fixture.join(1, 'a');
   fixture.join(1, 'b');
@@ -63,7 +63,7 @@
   cr_assert(fixture.started == "b");
 }
 
-Test(call_queue, tells_how_many_go_first) {
+Test(call_queue, counts_the_calls_ahead) {
   Fixture fixture;
   fixture.join(1, 'a');
   fixture.join(2, 'b');
@@ -74,7 +74,7 @@
   cr_assert(fixture.queue.ahead_of(9) == 3);
 }
 
-Test(call_queue, stands_from_the_first_who_waits_to_the_last) {
+Test(call_queue, is_nonempty_from_the_first_call_to_the_last) {
   Fixture fixture;
   cr_assert(fixture.queue.standing(fixture.now) == Duration::zero());
   const CallQueue::Place first = fixture.join(1, 'a');
@@ -88,12 +88,12 @@
   cr_assert(fixture.queue.standing(fixture.now) == Duration::zero());
 }
 
-// Guards against offering a call the same leaf for ever.
+// Guards against an endless loop that offers a call the same leaf.
 Test(call_queue,
-     a_call_that_cannot_use_the_room_is_tried_once_and_keeps_its_place) {
+     a_call_that_cannot_start_is_tried_once_and_keeps_its_position) {
   Fixture fixture;
   int tries = 0;
-  (void)fixture.queue.join(1, picky(tries), fixture.now);
+  (void)fixture.queue.join(1, unstartable(tries), fixture.now);
   fixture.join(1, 'b');
   fixture.offer(5);
   cr_assert(tries == 1);
@@ -101,7 +101,7 @@
   cr_assert(fixture.queue.ahead_of(1) == 1);
   fixture.join(1, 'c');
   fixture.offer(1);
-  cr_assert(tries == 2, "still before those that came later");
+  cr_assert(tries == 2, "still ahead of later calls");
 }
 
 }  // namespace
--- a/tests/dispatch/call_window_test.cc
+++ b/tests/dispatch/call_window_test.cc
@@ -14,13 +14,13 @@
 
 constexpr milliseconds kWork{6};
 
-Test(call_window, begins_with_all_links) {
+Test(call_window, starts_at_its_maximum) {
   CallWindow window;
   window.set_most(3);
   cr_assert(window.size() == 3);
 }
 
-Test(call_window, one_call_that_a_pause_caught_changes_nothing) {
+Test(call_window, one_call_delayed_by_a_pause_changes_nothing) {
   CallWindow window;
   window.set_most(3);
   const TimePoint now = Clock::now();
@@ -29,7 +29,7 @@
   cr_assert(window.size() == 3);
 }
 
-Test(call_window, shrinks_where_calls_take_long_and_grows_again) {
+Test(call_window, shrinks_at_high_latency_and_grows_again) {
   CallWindow window;
   window.set_most(3);
   TimePoint now = Clock::now();
@@ -45,7 +45,7 @@
   cr_assert(window.size() == 3);
 }
 
-Test(call_window, a_slow_leaf_with_one_call_at_a_time_is_not_cut_down) {
+Test(call_window, a_slow_leaf_with_one_call_at_a_time_keeps_its_window) {
   CallWindow window;
   window.set_most(3);
   TimePoint now = Clock::now();
@@ -56,9 +56,9 @@
   cr_assert(window.size() == 3);
 }
 
-/// One leaf and the daemons before it, each of which always has a call to send:
-/// the pattern of four times the usual load, at which every daemon's queue
-/// stands.
+/// One leaf and the daemons that call it, each of which always has a call to
+/// send. This corresponds to four times the normal load, at which the queue of
+/// every daemon is never empty.
 class LoadedLeaf {
  public:
   static constexpr std::size_t kDaemons = 7;
@@ -71,7 +71,7 @@
     }
   }
 
-  /// Calls that were turned away, and calls that were answered, from `from` on.
+  /// Calls that were rejected and calls that were answered after `from`.
   struct Counts {
     int turned_away = 0;
     int answered = 0;
@@ -107,7 +107,7 @@
       if (this->working.size() + this->queued.size() >= kSlots + kQueue) {
         this->counts.turned_away += count ? 1 : 0;
         daemon.window.on_turned_away(this->now);
-        // Its next call is another request's, a moment later.
+        // The next call belongs to another request and comes a moment later.
         daemon.pause_until = this->now + kWork;
         return;
       }
@@ -145,8 +145,8 @@
   Counts counts;
 };
 
-// Guards against full leafs that get as many calls as idle ones.
-Test(call_window, daemons_at_a_loaded_leaf_fill_its_slots_and_not_its_queue) {
+// Guards against sending fully loaded leafs as many calls as idle ones.
+Test(call_window, daemons_fill_the_slots_of_a_loaded_leaf_but_not_its_queue) {
   LoadedLeaf leaf;
   const LoadedLeaf::Counts counts = leaf.run(seconds(1), seconds(5));
   cr_assert(counts.turned_away == 0);
--- a/tests/dispatch/cold_limit_test.cc
+++ b/tests/dispatch/cold_limit_test.cc
@@ -16,8 +16,8 @@
 
 using std::chrono::milliseconds;
 
-/// The load that this answers: a zone's leafs come back cold all at once, and
-/// every daemon of a fleet has calls for each of them all the time.
+/// Load pattern: all leafs of a zone restart cold at the same time, and every
+/// daemon of the fleet always has calls for each of them.
 struct ColdFleet {
   static constexpr std::uint64_t kLeaf = 7;
 
@@ -32,7 +32,7 @@
     }
   }
 
-  /// Each daemon tries a call each 10 ms. @return When calls started.
+  /// Every daemon tries a call every 10 ms. @return The start times of calls.
   std::vector<TimePoint> run(std::chrono::seconds time) {
     std::vector<TimePoint> calls;
     std::vector<std::size_t> order(this->limits.size());
@@ -55,7 +55,7 @@
   pcg32 random{1};
 };
 
-std::size_t most_in_a_second(const std::vector<TimePoint>& calls) {
+std::size_t max_per_second(const std::vector<TimePoint>& calls) {
   std::size_t most = 0;
   std::size_t first = 0;
   for (std::size_t i = 0; i < calls.size(); ++i) {
@@ -67,25 +67,25 @@
   return most;
 }
 
-Test(cold_limit, a_fleet_of_any_size_keeps_within_what_a_cold_leaf_bears) {
+Test(cold_limit, a_fleet_of_any_size_stays_within_the_rate_of_a_cold_leaf) {
   for (const std::size_t hosts : {1UL, 6UL, 79UL, 300UL}) {
     for (const double rate : {0.5, 1.0, 3.7, 20.0, 100.0, 1000.0}) {
       ColdFleet fleet(hosts, rate);
       const auto calls = fleet.run(std::chrono::seconds(6));
-      cr_assert(static_cast<double>(most_in_a_second(calls)) <=
+      cr_assert(static_cast<double>(max_per_second(calls)) <=
                 std::max(1.0, rate));
       cr_assert(!calls.empty());
     }
   }
 }
 
-Test(cold_limit, a_large_part_of_what_a_cold_leaf_bears_is_used) {
+Test(cold_limit, most_of_the_rate_of_a_cold_leaf_is_used) {
   ColdFleet fleet(300, 20);
   const auto calls = fleet.run(std::chrono::seconds(6));
   cr_assert(calls.size() >= 6 * 20 * 3 / 4, "%zu", calls.size());
 }
 
-Test(cold_limit, leafs_are_used_by_different_daemons) {
+Test(cold_limit, different_leafs_are_used_by_different_daemons) {
   std::set<std::size_t> users;
   for (std::uint64_t leaf = 0; leaf < 40; ++leaf) {
     for (std::size_t rank = 0; rank < 79; ++rank) {
@@ -127,7 +127,7 @@
   cr_assert(limit.next(now) == now + std::chrono::seconds(3));
 }
 
-/// A fixture whose services bear `rate` requests a second at a cold leaf.
+/// A fixture whose cold leafs tolerate `rate` requests per second.
 struct ColdFixture : DispatchFixture {
   explicit ColdFixture(double rate) {
     auto services =
@@ -170,7 +170,7 @@
   int number = 0;
 };
 
-Test(cold_leafs, a_leaf_cold_again_in_mid_traffic_gets_its_share_alone) {
+Test(cold_leafs, a_leaf_that_becomes_cold_under_traffic_gets_only_its_share) {
   ColdFixture fixture(6);
   cr_assert(fixture.run_pages(10) == 10);
   cr_assert(fixture.runs_at(0) == 10);
@@ -179,7 +179,7 @@
   cr_assert(fixture.runs_at(0) == 12, "%zu", fixture.runs_at(0));
 }
 
-Test(cold_leafs, a_zone_taken_back_from_evacuation_is_cold) {
+Test(cold_leafs, a_zone_is_cold_after_its_evacuation) {
   ColdFixture fixture(6);
   fixture.dispatcher.set_evacuated({"z0"});
   fixture.dispatcher.set_evacuated({});
@@ -195,12 +195,12 @@
   cr_assert(fixture.run_pages(4) == 4);
 }
 
-Test(cold_leafs, a_daemon_without_a_share_refuses_at_once) {
+Test(cold_leafs, a_daemon_without_a_share_refuses_immediately) {
   ColdFixture fixture(1);
   LinkSharers fleet;
   fleet.hosts = 300;
   fleet.hosts_by_zone = {{"z0", 100}, {"z1", 100}, {"z2", 100}};
-  // No leaf is used by this daemon: found by trying all ranks.
+  // Tries all ranks to find one whose daemon may use none of the leafs.
   for (fleet.rank = 0; fleet.rank < 300; ++fleet.rank) {
     fixture.dispatcher.set_fleet(fleet);
     for (int leaf = 0; leaf < 3; ++leaf) {
--- a/tests/dispatch/fake_leafs.h
+++ b/tests/dispatch/fake_leafs.h
@@ -21,20 +21,20 @@
 
 namespace ibismux::dispatch::testing {
 
-/// What a fake leaf does with the calls it gets.
+/// How a fake leaf handles the calls that it gets.
 struct Behaviour {
   bool refuses_dials = false;
-  std::chrono::milliseconds dial{0};  ///< Until a connection is open.
-  bool resets = false;  ///< Takes a call and drops the connection.
+  std::chrono::milliseconds dial{0};  ///< Time to open a connection.
+  bool resets = false;  ///< Accepts a call, then drops the connection.
   bool silent = false;  ///< Never answers.
-  std::chrono::milliseconds work{0};  ///< Until the answer.
-  bool sheds = false;                 ///< Says that it hasn't run the call.
-  bool fails = false;                 ///< Answers 500.
-  bool replaced = false;              ///< Another leaf has its address.
+  std::chrono::milliseconds work{0};  ///< Time until the answer.
+  bool sheds = false;     ///< Answers that it didn't execute the call.
+  bool fails = false;     ///< Answers 500.
+  bool replaced = false;  ///< Another leaf has its address.
 };
 
-/// Leafs in memory, behind the interface that the dispatcher calls. No sockets;
-/// an answer comes at once unless the leaf is silent or has work to do.
+/// In-memory leafs behind the interface that the dispatcher uses. There are no
+/// sockets; an answer comes immediately unless `silent` or `work` is set.
 class FakeLeafs : public LeafConnector {
  public:
   std::map<std::string, Behaviour> behaviour;  ///< By instance.
@@ -42,7 +42,7 @@
       runs;  ///< Request ids.
   mutable std::map<std::string, int> dials;
 
-  /// How many leafs have run request `id`.
+  /// How many times the leafs have run request `id`.
   [[nodiscard]] int times_run(const std::string& id) const {
     int times = 0;
     for (const auto& [instance, ids] : this->runs) {
@@ -54,20 +54,20 @@
   [[nodiscard]] std::unique_ptr<LeafLink> make(
       const directory::LeafEntry& entry) const override;
 
-  /// A call of this target ends the leaf that begins to work on it: all its
-  /// connections close, and it refuses new ones until `revive()`.
+  /// A call with this target crashes the leaf that executes it: all connections
+  /// to the leaf close, and it refuses new ones until `revive()`.
   std::string crashing_target;
-  /// Starts the leafs again that have ended. @return Their ids.
+  /// Restarts the leafs that have ended. @return Their ids.
   std::set<std::string> revive() noexcept {
     return std::exchange(this->ended, {});
   }
-  /// Ends the leafs that have run anything, for no request's sake.
+  /// Ends all leafs that have run a request, independently of any request.
   void end_all() {
     for (const auto& [instance, ids] : this->runs) {
       this->ended.insert(instance);
     }
   }
-  /// How many leafs calls of `crashing_target` have ended so far.
+  /// How many crashes calls with `crashing_target` have caused so far.
   mutable int crashes = 0;
 
   /// Closes all connections that are open now.
@@ -76,8 +76,8 @@
  private:
   class Link;
 
-  std::uint64_t epoch = 0;              ///< Links of earlier ones are closed.
-  mutable std::set<std::string> ended;  ///< Leafs whose process is gone.
+  std::uint64_t epoch = 0;  ///< Links opened in an earlier epoch are closed.
+  mutable std::set<std::string> ended;  ///< Leafs whose process has ended.
 };
 
 class FakeLeafs::Link : public LeafLink {
--- a/tests/dispatch/leaf_cost_test.cc
+++ b/tests/dispatch/leaf_cost_test.cc
@@ -16,22 +16,23 @@
   return leaf_cost(leaf, kUsual, kObjective, DispatchSettings{}.remote_cost);
 }
 
-Test(leaf_cost, an_idle_leaf_of_the_own_zone_costs_the_usual) {
+Test(leaf_cost, an_idle_leaf_in_the_same_zone_costs_the_typical_latency) {
   cr_assert(cost({}) == kUsual);
 }
 
-// The load: a fleet over four zones, leafs a quarter busy, varying times.
-Test(leaf_cost, a_leaf_that_is_busy_as_usual_keeps_the_calls_of_its_zone) {
+// Load pattern: a fleet over four zones, 25% of the slots of each leaf in use,
+// varying latencies.
+Test(leaf_cost, a_leaf_under_normal_load_keeps_the_calls_of_its_zone) {
   const LeafState own{.ratio = 1.4, .busy = 1, .slots = 4};
   cr_assert(cost(own) < cost({.remote = true}));
 }
 
-Test(leaf_cost, a_slow_leaf_of_the_own_zone_loses_them) {
+Test(leaf_cost, a_slow_leaf_loses_the_calls_of_its_zone) {
   const LeafState own{.ratio = 2.5};
   cr_assert(cost(own) > cost({.remote = true}));
 }
 
-Test(leaf_cost, a_full_leaf_of_the_own_zone_loses_them) {
+Test(leaf_cost, a_fully_loaded_leaf_loses_the_calls_of_its_zone) {
   const LeafState own{.ratio = 1.3, .busy = 3, .slots = 4};
   cr_assert(cost(own) > cost({.remote = true}));
 }
@@ -40,7 +41,7 @@
   cr_assert(cost({.failure_share = 1}) > kObjective);
 }
 
-Test(leaf_cost, a_leaf_without_links_of_ours_is_a_last_resort) {
+Test(leaf_cost, a_leaf_without_links_is_a_last_resort) {
   cr_assert(cost({.keeps_links = false, .has_idle_link = false}) >
             cost({.busy = 1, .slots = 2}));
 }
--- a/tests/dispatch/leaf_estimate_test.cc
+++ b/tests/dispatch/leaf_estimate_test.cc
@@ -15,7 +15,7 @@
   LeafEstimate estimate;
   TimePoint now = Clock::now();
 
-  /// A call that is answered after `took`.
+  /// Makes a call that is answered after `took`.
   void call(milliseconds took) {
     const auto ticket = this->estimate.sent(this->now);
     this->now += took;
@@ -23,14 +23,14 @@
   }
 };
 
-Test(leaf_estimate, a_leaf_without_calls_is_usual) {
+Test(leaf_estimate, a_leaf_without_calls_has_the_typical_latency) {
   const Fixture fixture;
   cr_assert(fixture.estimate.ratio(fixture.now) == 1);
   cr_assert(fixture.estimate.failure_share(fixture.now) == 0);
   cr_assert(!fixture.estimate.is_unresponsive(milliseconds(0), fixture.now));
 }
 
-Test(leaf_estimate, a_slow_leaf_is_known_after_a_few_calls) {
+Test(leaf_estimate, a_slow_leaf_is_detected_after_a_few_calls) {
   Fixture fixture;
   for (int i = 0; i < 5; ++i) {
     fixture.call(milliseconds(80));
@@ -38,8 +38,8 @@
   cr_assert(fixture.estimate.ratio(fixture.now) > 3);
 }
 
-// The load: machines of leafs that are four times as slow for half a second.
-Test(leaf_estimate, one_answer_tells_of_a_slow_machine) {
+// Load pattern: machines of leafs are four times slower for half a second.
+Test(leaf_estimate, one_answer_reveals_a_slow_machine) {
   Fixture fixture;
   fixture.estimate.note_load({1, 0, 4, 4.0}, fixture.now);
   cr_assert(fixture.estimate.ratio(fixture.now) == 4);
@@ -49,16 +49,16 @@
   cr_assert(fixture.estimate.ratio(fixture.now) == 1);
 }
 
-// Guards against a load that is believed when it has long changed.
-Test(leaf_estimate, what_a_leaf_said_of_its_load_is_soon_forgotten) {
+// Guards against using a load report after the load has changed.
+Test(leaf_estimate, a_load_report_decays_quickly) {
   Fixture fixture;
   fixture.estimate.note_load({1, 0, 4, 4.0}, fixture.now);
   cr_assert(fixture.estimate.ratio(fixture.now + milliseconds(300)) < 1.5);
   cr_assert(fixture.estimate.ratio(fixture.now + milliseconds(1000)) < 1.01);
 }
 
-// Guards against a leaf that calls itself idle and answers late.
-Test(leaf_estimate, a_good_load_hides_no_slow_calls) {
+// Guards against preferring a leaf that reports no load but answers slowly.
+Test(leaf_estimate, a_low_reported_load_does_not_hide_slow_calls) {
   Fixture fixture;
   for (int i = 0; i < 10; ++i) {
     fixture.call(milliseconds(40));
@@ -67,7 +67,7 @@
   cr_assert(fixture.estimate.ratio(fixture.now) > 2);
 }
 
-// The load: leafs that stand still for 100 ms in each 2.4 s.
+// Load pattern: leafs pause for 100 ms every 2.4 s.
 Test(leaf_estimate, one_pause_hardly_changes_the_estimate) {
   Fixture fixture;
   for (int i = 0; i < 20; ++i) {
@@ -77,7 +77,7 @@
   cr_assert(fixture.estimate.ratio(fixture.now) < 1.7);
 }
 
-Test(leaf_estimate, what_is_held_against_a_leaf_fades) {
+Test(leaf_estimate, the_estimate_decays_without_calls) {
   Fixture fixture;
   for (int i = 0; i < 10; ++i) {
     fixture.call(milliseconds(80));
@@ -88,7 +88,7 @@
   cr_assert(before > 3.5 && after < 1.3);
 }
 
-Test(leaf_estimate, a_call_without_answer_makes_the_leaf_silent) {
+Test(leaf_estimate, a_call_without_an_answer_makes_the_leaf_unresponsive) {
   Fixture fixture;
   const auto ticket = fixture.estimate.sent(fixture.now);
   cr_assert(!fixture.estimate.is_unresponsive(milliseconds(25),
@@ -100,7 +100,7 @@
                                               fixture.now + milliseconds(90)));
 }
 
-Test(leaf_estimate, a_leaf_that_answers_others_is_not_silent) {
+Test(leaf_estimate, a_leaf_that_answers_other_calls_is_not_unresponsive) {
   Fixture fixture;
   const auto slow = fixture.estimate.sent(fixture.now);
   fixture.now += milliseconds(20);
@@ -109,7 +109,7 @@
   fixture.estimate.lost(slow, fixture.now);
 }
 
-Test(leaf_estimate, failures_show) {
+Test(leaf_estimate, failures_raise_the_failure_share) {
   Fixture fixture;
   for (int i = 0; i < 10; ++i) {
     const auto ticket = fixture.estimate.sent(fixture.now);
@@ -118,7 +118,7 @@
   cr_assert(fixture.estimate.failure_share(fixture.now) > 0.8);
 }
 
-Test(leaf_estimate, what_others_see_counts_beside_own_calls) {
+Test(leaf_estimate, peer_reports_are_weighted_with_own_calls) {
   Fixture fixture;
   fixture.estimate.merge_report(
       {.excess = 4, .samples = 12, .half_life = kUsual}, fixture.now);
@@ -131,7 +131,7 @@
   cr_assert(fixture.estimate.ratio(fixture.now + milliseconds(1600)) < 1.1);
 }
 
-Test(leaf_estimate, what_others_see_is_kept_for_as_long_as_it_is_said_to_hold) {
+Test(leaf_estimate, peer_reports_decay_with_their_half_life) {
   Fixture fixture;
   fixture.estimate.merge_report(
       {.excess = 4, .samples = 1, .half_life = std::chrono::seconds(10)},
@@ -145,7 +145,7 @@
   cr_assert(!fixture.estimate.has_peer_report(later));
 }
 
-Test(leaf_estimate, what_was_seen_is_handed_over_once) {
+Test(leaf_estimate, observations_are_returned_once) {
   Fixture fixture;
   fixture.call(milliseconds(30));
   const auto seen = fixture.estimate.take_seen();
--- a/tests/dispatch/leaf_restart_test.cc
+++ b/tests/dispatch/leaf_restart_test.cc
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-/// The entry of leaf "desk-0", of the run that began at `started`.
+/// The entry of leaf "desk-0" for the run that started at `started`.
 directory::LeafEntry desk_0(int started) {
   directory::LeafEntry entry;
   entry.run = {"desk-0", milliseconds(started)};
@@ -17,11 +17,11 @@
   return entry;
 }
 
-/// The daemon's own zone has "desk-0", so calls go there while it is well.
+/// "desk-0" is in the zone of the daemon, so it gets the calls while healthy.
 struct RestartFixture : DispatchFixture {
   RestartFixture() { this->dispatcher.on_leaf(desk_0(1000)); }
 
-  /// Begins a request, and waits until "desk-0" works on it.
+  /// Begins a request and waits until "desk-0" executes it.
   void begin_at_desk_0(const std::string& id, const std::string& path) {
     this->leafs.behaviour["desk-0"] = {.silent = true};
     this->begin(id, path);
@@ -34,7 +34,7 @@
   }
 };
 
-// Guards against calls on connections to a process that has ended.
+// Guards against sending calls over connections to a process that has ended.
 Test(leaf_restart, a_new_run_is_called_on_new_connections) {
   RestartFixture fixture;
   cr_assert(fixture.run("r1", "/page/1").has_value());
@@ -44,8 +44,8 @@
   cr_assert(fixture.leafs.dials["desk-0"] == 2);
 }
 
-// Guards against calls under way that wait for a process that has ended.
-Test(leaf_restart, an_idempotent_call_goes_to_another_leaf_at_once) {
+// Guards against calls in flight that wait for a process that has ended.
+Test(leaf_restart, an_idempotent_call_is_retried_immediately_at_another_leaf) {
   RestartFixture fixture;
   fixture.begin_at_desk_0("r1", "/page/1");
   fixture.dispatcher.on_leaf(desk_0(2000));
@@ -54,7 +54,7 @@
   cr_assert(fixture.leafs.times_run("r1") == 2);
 }
 
-Test(leaf_restart, a_call_that_may_run_once_ends_as_unknown_at_once) {
+Test(leaf_restart, a_non_idempotent_call_ends_immediately_as_unknown) {
   RestartFixture fixture;
   fixture.begin_at_desk_0("r1", "/order/1");
   fixture.dispatcher.on_leaf(desk_0(2000));
@@ -63,8 +63,8 @@
   cr_assert(fixture.leafs.times_run("r1") == 1);
 }
 
-// Guards against an ejection that outlives the run it was for.
-Test(leaf_restart, the_ejection_of_the_former_run_is_over) {
+// Guards against an ejection that outlasts the run that was ejected.
+Test(leaf_restart, a_new_run_is_not_ejected) {
   RestartFixture fixture;
   fixture.leafs.behaviour["desk-0"] = {.refuses_dials = true};
   cr_assert(fixture.run("r1", "/page/1").has_value());
@@ -75,8 +75,9 @@
   cr_assert(fixture.leafs.runs["desk-0"].size() == 1);
 }
 
-// The same for a leaf that another one had replaced at its address.
-Test(leaf_restart, a_leaf_that_lost_its_address_is_back_with_a_new_run) {
+// Guards against treating a new run as retired because another leaf had taken
+// over the address of the previous run.
+Test(leaf_restart, a_replaced_leaf_returns_with_a_new_run) {
   RestartFixture fixture;
   fixture.leafs.behaviour["desk-0"] = {.replaced = true};
   cr_assert(fixture.run("r1", "/page/1").has_value());
@@ -86,8 +87,8 @@
   cr_assert(fixture.leafs.runs["desk-0"].size() == 1);
 }
 
-// Guards against reports on a former run that count for the present one.
-Test(leaf_restart, a_report_of_the_former_run_says_nothing_of_the_new_one) {
+// Guards against applying reports on a previous run to the current one.
+Test(leaf_restart, a_report_on_the_previous_run_is_ignored) {
   RestartFixture fixture;
   fixture.dispatcher.on_leaf(desk_0(2000));
   fixture.dispatcher.on_report({.run = {"desk-0", milliseconds(1000)},
@@ -104,8 +105,8 @@
   cr_assert(fixture.leafs.runs["desk-0"].size() == 1);
 }
 
-// Guards against a leaf that stays in the group of its former service.
-Test(leaf_restart, a_leaf_may_come_back_in_another_service) {
+// Guards against a leaf that stays in the group of its previous service.
+Test(leaf_restart, a_leaf_may_restart_in_another_service) {
   RestartFixture fixture;
   directory::LeafEntry moved = desk_0(2000);
   moved.service = "s1";
@@ -116,7 +117,7 @@
   cr_assert(fixture.leafs.runs["desk-0"].empty());
 }
 
-Test(leaf_restart, a_leaf_of_the_same_run_may_move) {
+Test(leaf_restart, a_new_address_in_the_same_run_gets_new_connections) {
   RestartFixture fixture;
   cr_assert(fixture.run("r1", "/page/1").has_value());
   directory::LeafEntry moved = desk_0(1000);
@@ -126,7 +127,7 @@
   cr_assert(fixture.leafs.dials["desk-0"] == 2);
 }
 
-Test(leaf_restart, what_else_changes_keeps_connections) {
+Test(leaf_restart, other_changes_of_the_entry_keep_connections) {
   RestartFixture fixture;
   cr_assert(fixture.run("r1", "/page/1").has_value());
   directory::LeafEntry warm = desk_0(1000);
@@ -137,8 +138,8 @@
   cr_assert(fixture.leafs.dials["desk-0"] == 1);
 }
 
-// Guards against calls that outlive their leaf.
-Test(leaf_restart, runs_that_follow_each_other_lose_no_request) {
+// Guards against requests lost because a call outlives its leaf.
+Test(leaf_restart, a_quick_sequence_of_runs_loses_no_request) {
   RestartFixture fixture;
   for (int i = 0; i < 40; ++i) {
     const std::string id = "r" + std::to_string(i);
--- a/tests/dispatch/link_opening_test.cc
+++ b/tests/dispatch/link_opening_test.cc
@@ -1,7 +1,7 @@
 // Links that are opened before calls need them.
 //
-// The load: a large fleet of slow hosts, queries over very many shards, each
-// daemon with a query every few seconds.
+// Load pattern: a large fleet of slow hosts, queries over very many shards, and
+// a query every few seconds at each daemon.
 
 #include <boost/asio/io_context.hpp>
 
@@ -20,7 +20,7 @@
 using std::chrono::seconds;
 using testing::DispatchFixture;
 
-/// Everybody has been met: this daemon, and one in each other zone.
+/// A fully known fleet: this daemon and one daemon in each other zone.
 LinkSharers small_fleet() {
   LinkSharers fleet;
   fleet.hosts = 3;
@@ -36,14 +36,15 @@
   return sum;
 }
 
-constexpr int kLeafs = 15;  // Of the fixture: five services of three.
+constexpr int kLeafs =
+    15;  // In the fixture: five services with three leafs each.
 
 bool open_all(DispatchFixture& fixture) {
   return fixture.run_until([&] { return dials(fixture) >= kLeafs; });
 }
 
-// Guards against first queries that dial a leaf of each shard.
-Test(link_opening, a_first_query_finds_its_links_open) {
+// Guards against a first query that has to dial a leaf of each shard.
+Test(link_opening, the_first_query_uses_links_opened_ahead) {
   DispatchFixture fixture;
   fixture.dispatcher.set_fleet(small_fleet());
   cr_assert(open_all(fixture));
@@ -52,15 +53,15 @@
   cr_assert(dials(fixture) == kLeafs);
 }
 
-// Guards against a large fleet that opens links at all leafs.
+// Guards against all daemons of a large fleet opening links to every leaf.
 Test(link_opening, nothing_is_opened_before_the_fleet_is_known) {
   DispatchFixture fixture;
   fixture.run("r1", "/query/1");
   cr_assert(dials(fixture) == static_cast<int>(DispatchFixture::kShards));
 }
 
-// Guards against a change of role that changes no link.
-Test(link_opening, a_daemon_that_begins_to_gather_gets_its_links) {
+// Guards against a role change that doesn't update the links.
+Test(link_opening, a_daemon_that_becomes_a_gatherer_opens_its_links) {
   DispatchFixture fixture;
   LinkSharers fleet;
   fleet.hosts = 300;
@@ -75,7 +76,7 @@
   cr_assert(open_all(fixture));
 }
 
-Test(link_opening, links_that_a_reset_took_are_opened_again) {
+Test(link_opening, links_lost_by_a_reset_are_reopened) {
   DispatchFixture fixture;
   fixture.dispatcher.set_fleet(small_fleet());
   cr_assert(open_all(fixture));
@@ -83,7 +84,7 @@
   cr_assert(fixture.run_until([&] { return dials(fixture) >= 2 * kLeafs; }));
 }
 
-Test(link_opening, a_leaf_that_is_leaving_gets_no_link) {
+Test(link_opening, a_draining_leaf_gets_no_link) {
   DispatchFixture fixture;
   directory::LeafEntry leaving;
   leaving.run.id = "s1-0";
@@ -98,7 +99,7 @@
   cr_assert(fixture.leafs.dials["s1-0"] == 0);
 }
 
-Test(link_opening, a_leaf_that_cant_be_dialled_is_known_before_any_call) {
+Test(link_opening, an_unreachable_leaf_is_detected_before_any_call) {
   DispatchFixture fixture;
   fixture.leafs.behaviour["s1-0"] = {.refuses_dials = true};
   fixture.dispatcher.set_fleet(small_fleet());
@@ -108,7 +109,7 @@
   cr_assert(fixture.leafs.runs["s1-0"].empty());
 }
 
-Test(link_opening, it_can_be_switched_off) {
+Test(link_opening, can_be_disabled) {
   DispatchPolicy policy;
   policy.open_ahead = false;
   DispatchFixture fixture(policy);
@@ -117,8 +118,8 @@
   cr_assert(dials(fixture) == static_cast<int>(DispatchFixture::kShards));
 }
 
-// Guards against dialling a leaf again and again that closes idle links.
-Test(reopen_pause, it_doubles_while_no_call_comes_and_ends_with_one) {
+// Guards against constantly redialling a leaf that closes idle links.
+Test(reopen_pause, doubles_without_calls_and_is_reset_by_a_call) {
   ReopenPause pause;
   TimePoint now{};
   cr_assert(pause.is_over(now));
@@ -140,7 +141,7 @@
   return entry;
 }
 
-Test(link_pool, only_a_pool_without_links_wants_one) {
+Test(link_pool, only_a_pool_without_links_needs_one) {
   boost::asio::io_context loop;
   testing::FakeLeafs leafs;
   LinkPool pool(leafs, 1);
@@ -157,7 +158,7 @@
   cr_assert(!pool.has_idle() && !pool.wants_link(now));
 }
 
-Test(link_pool, a_link_is_new_until_a_call_went_over_it) {
+Test(link_pool, a_link_is_new_until_it_has_carried_a_call) {
   boost::asio::io_context loop;
   testing::FakeLeafs leafs;
   LinkPool pool(leafs, 1);
--- a/tests/dispatch/link_plan_test.cc
+++ b/tests/dispatch/link_plan_test.cc
@@ -20,7 +20,7 @@
           {zone(2), connections, slots}};
 }
 
-/// The grants of every daemon of a fleet over `zones` zones.
+/// The grants of all daemons of a fleet in `zones` zones.
 std::vector<std::vector<LinkGrant>> grants_of_all(const Replicas& replicas,
                                                   std::size_t hosts,
                                                   std::size_t zones) {
@@ -28,7 +28,7 @@
   for (std::size_t i = 0; i < hosts; ++i) {
     LinkSharers sharers;
     sharers.hosts = hosts;
-    // In an order that has nothing to do with zones, as that by a hash.
+    // Ranks independent of zones, like an order by hash.
     sharers.rank = (i * 7919 + 13) % hosts;
     sharers.zone = zone(i % zones);
     for (std::size_t j = 0; j < hosts; ++j) {
@@ -49,7 +49,7 @@
                          });
 }
 
-// Today's sites: 26 connections a leaf, 7 to 10 daemons.
+// Small sites: 26 connections per leaf, 7 to 10 daemons.
 Test(link_plan, a_small_fleet_shares_evenly_and_below_the_limit) {
   for (const std::size_t hosts : {1U, 2U, 6U, 7U, 10U}) {
     const auto all = grants_of_all(three(26, 2), hosts, 3);
@@ -62,20 +62,20 @@
   }
 }
 
-// The load: a shard with one leaf left of three.
-Test(link_plan, a_leaf_is_not_given_many_more_links_than_it_can_work_on) {
+// Load pattern: a shard with only one of its three leafs left.
+Test(link_plan, links_are_limited_to_little_more_than_a_leaf_executes) {
   const auto all = grants_of_all(three(40, 5), 6, 3);
   for (const auto& grants : all) {
     cr_assert(grants[0].most == 3);
   }
 }
 
-Test(link_plan, few_daemons_may_fill_a_leaf_of_many_slots) {
+Test(link_plan, few_daemons_may_use_all_slots_of_a_leaf) {
   const auto all = grants_of_all(three(400, 16), 2, 2);
   cr_assert(all[0][0].most == 16);
 }
 
-// The grown sites: 70 to 78 connections a leaf, 77 and 91 daemons.
+// Large sites: 70 to 78 connections per leaf, 77 and 91 daemons.
 Test(link_plan, a_large_fleet_keeps_below_the_limit_and_each_has_two_replicas) {
   struct Site {
     std::size_t connections, hosts, zones;
@@ -97,8 +97,9 @@
   }
 }
 
-// Guards against connections from before a loss of power that leave no room.
-Test(link_plan, a_fleet_that_lost_power_finds_room_for_its_links) {
+// Guards against a power loss after which the old connections, which leafs
+// still hold, leave no room for new ones.
+Test(link_plan, a_fleet_can_reconnect_after_a_power_loss) {
   struct Site {
     std::size_t connections, hosts, zones;
   };
@@ -112,13 +113,13 @@
           [&](const auto& grants) { return grants[replica].open_ahead; }));
       cr_assert(2 * ahead <= site.connections, "%zu of %zu at %zu daemons",
                 ahead, site.connections, site.hosts);
-      // And yet nearly every daemon has an open link to each shard.
+      // Still, nearly every daemon has an open link to each shard.
       cr_assert(ahead * 3 >= site.hosts * 8 / 10);
     }
   }
 }
 
-Test(link_plan, where_connections_are_few_some_daemons_keep_a_second_replica) {
+Test(link_plan, with_few_connections_some_daemons_keep_a_second_replica) {
   const auto all = grants_of_all(three(195, 7), 295, 5);
   for (std::size_t replica = 0; replica < 3; ++replica) {
     cr_assert(kept_at(all, replica) <= 195);
@@ -133,19 +134,19 @@
   cr_assert(second > 295 / 2);
 }
 
-Test(link_plan, the_own_zone_comes_first) {
+Test(link_plan, replicas_of_the_same_zone_are_preferred) {
   const auto all = grants_of_all(three(70, 4), 77, 3);
   for (std::size_t i = 0; i < all.size(); ++i) {
     cr_assert(all[i][i % 3].keep);
   }
 }
 
-Test(link_plan, where_the_limit_is_unknown_one_link_is_allowed) {
+Test(link_plan, one_link_is_allowed_if_the_limit_is_unknown) {
   cr_assert(plan_links({{zone(0), 0, 4}}, {}).front().most == 1);
   cr_assert(plan_links({}, {}).empty());
 }
 
-Test(link_plan, before_the_others_are_met_nothing_is_left_out) {
+Test(link_plan, all_replicas_are_kept_while_the_fleet_is_unknown) {
   LinkSharers sharers;
   sharers.hosts = 40;
   for (const LinkGrant& grant : plan_links(three(26, 2), sharers)) {
--- a/tests/dispatch/zone_memory_test.cc
+++ b/tests/dispatch/zone_memory_test.cc
@@ -7,8 +7,9 @@
 #include "ibismux/dispatch/leaf_estimate.h"
 #include "ibismux/reports/report_board.h"
 
-// What a zone of daemons remembers of a slow leaf, without network: its
-// daemons' estimates, and the board that puts their reports together.
+// How long the daemons of a zone avoid a slow leaf, simulated without a
+// network: the estimates of the daemons and the board that aggregates their
+// reports.
 
 namespace ibismux::dispatch {
 namespace {
@@ -18,22 +19,22 @@
 
 constexpr milliseconds kUsual{30};
 constexpr std::size_t kDaemons = 23;
-// Queries of the whole zone, each of which calls one of the shard's three
-// leafs.
+// Interval between queries of the whole zone; each query calls one of the three
+// leafs of the shard.
 constexpr milliseconds kBetweenQueries{31};
 constexpr milliseconds kRound{500};
-// Where a daemon rates a leaf this many times the usual, it takes another one.
+// A daemon avoids a leaf from this multiple of the typical latency on.
 constexpr double kAvoidedFrom = 2;
 
-/// The daemons of one zone before a shard of three leafs, one of which takes
-/// some times as long as the others.
+/// The daemons of one zone that call a shard of three leafs, one of which may
+/// be several times slower than the others.
 class Zone {
  public:
-  /// @param share_forgetting Each daemon draws its own time to forget.
+  /// @param share_forgetting Each daemon draws a random half-life for reports.
   explicit Zone(bool share_forgetting)
       : estimates(kDaemons), share_forgetting(share_forgetting) {}
 
-  /// How many queries of `span` meet the slow leaf.
+  /// @return How many queries within `span` call the slow leaf.
   int run(Duration span, int times_slow) {
     int met = 0;
     const TimePoint end = this->now + span;
@@ -98,8 +99,8 @@
   pcg32 random{42};
 };
 
-// Guards against a zone that forgets a slow leaf on all daemons at once.
-Test(zone_memory, few_queries_meet_a_leaf_that_stays_slow) {
+// Guards against all daemons of a zone forgetting a slow leaf at the same time.
+Test(zone_memory, few_queries_call_a_leaf_that_stays_slow) {
   Zone zone(true);
   zone.run(seconds(2), 8);
   const int met = zone.run(seconds(20), 8);
@@ -110,7 +111,7 @@
   cr_assert(met * 2 < met_before, "%d and %d", met, met_before);
 }
 
-Test(zone_memory, a_leaf_that_is_well_again_is_taken_up_by_all) {
+Test(zone_memory, a_recovered_leaf_is_used_again_by_all_daemons) {
   Zone zone(true);
   zone.run(seconds(8), 8);
   zone.run(seconds(12), 1);
