--- a/ibismux/dispatch/call_queue.cc
+++ b/ibismux/dispatch/call_queue.cc
@@ -8,7 +8,7 @@
                                  Start start,
                                  TimePoint now) {
   if (this->lanes.empty()) {
-    this->since = now;
+    this->nonempty_since = now;
   }
   const Place place{priority, this->next_number++};
   this->lanes[priority].emplace(place.number, std::move(start));
@@ -26,19 +26,19 @@
   }
 }
 
-void CallQueue::offer(const std::function<bool()>& room) {
-  std::optional<Place> place = this->next(std::nullopt);
-  for (; place && room(); place = this->next(place)) {
+void CallQueue::offer(const std::function<bool()>& has_capacity) {
+  std::optional<Place> place = this->next_after(std::nullopt);
+  for (; place && has_capacity(); place = this->next_after(place)) {
     // Removed from the queue while `start` runs, because `start` may end
     // waiting calls, including this one.
-    Start start = this->take(*place);
+    Start start = this->extract(*place);
     if (!start()) {
       this->lanes[place->priority].emplace(place->number, std::move(start));
     }
   }
 }
 
-std::optional<CallQueue::Place> CallQueue::next(
+std::optional<CallQueue::Place> CallQueue::next_after(
     const std::optional<Place>& place) const {
   const std::uint32_t priority = place ? place->priority : 0;
   for (auto lane = this->lanes.lower_bound(priority); lane != this->lanes.end();
@@ -53,7 +53,7 @@
   return std::nullopt;
 }
 
-CallQueue::Start CallQueue::take(const Place& place) {
+CallQueue::Start CallQueue::extract(const Place& place) {
   const auto lane = this->lanes.find(place.priority);
   auto call = lane->second.extract(place.number);
   if (lane->second.empty()) {
--- a/ibismux/dispatch/call_queue.h
+++ b/ibismux/dispatch/call_queue.h
@@ -43,10 +43,10 @@
   /// Removes a call. Does nothing if the call has been started.
   void leave(const Place& place);
 
-  /// Starts calls in queue order while `room()` returns true. Each call is
-  /// tried once: a call that needs another leaf than the one with capacity must
-  /// neither be retried in a loop nor block the calls behind it.
-  void offer(const std::function<bool()>& room);
+  /// Starts calls in queue order while `has_capacity()` returns true. Each call
+  /// is tried once: a call that needs another leaf than the one with capacity
+  /// must neither be retried in a loop nor block the calls behind it.
+  void offer(const std::function<bool()>& has_capacity);
 
   [[nodiscard]] bool empty() const noexcept { return this->lanes.empty(); }
 
@@ -54,7 +54,7 @@
   /// fills the queue only briefly; a queue that stays non-empty means that more
   /// work arrives than the leafs can process.
   [[nodiscard]] Duration standing(TimePoint now) const noexcept {
-    return this->lanes.empty() ? Duration::zero() : now - this->since;
+    return this->lanes.empty() ? Duration::zero() : now - this->nonempty_since;
   }
 
   /// The number of calls that a new call of `priority` would wait behind.
@@ -65,12 +65,12 @@
 
   /// The first call after `place`, or the first of all if `place` is absent;
   /// absent after the last call.
-  [[nodiscard]] std::optional<Place> next(
+  [[nodiscard]] std::optional<Place> next_after(
       const std::optional<Place>& place) const;
-  [[nodiscard]] Start take(const Place& place);
+  [[nodiscard]] Start extract(const Place& place);
 
   std::map<std::uint32_t, Lane> lanes;  ///< By priority; no lane is empty.
-  TimePoint since = TimePoint::min();   ///< When the queue became non-empty.
+  TimePoint nonempty_since = TimePoint::min();
   std::uint64_t next_number = 0;
 };
 
--- a/ibismux/dispatch/call_window.h
+++ b/ibismux/dispatch/call_window.h
@@ -22,7 +22,7 @@
 class CallWindow {
  public:
   /// The upper bound of the window: the links that the daemon may have.
-  void set_most(std::size_t most) { this->limit.declare(most); }
+  void set_most(std::size_t max) { this->limit.declare(max); }
 
   /// At least 1.
   [[nodiscard]] std::size_t size() const noexcept {
@@ -43,7 +43,7 @@
   static constexpr double kCeiling = 1;
 
   concurrency::AimdLimit limit{1, kCeiling};
-  double load = 1;  ///< Moving average of latency / unloaded latency.
+  double average_ratio = 1;  ///< Moving average of latency / unloaded latency.
 };
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/cold_limit.cc
+++ b/ibismux/dispatch/cold_limit.cc
@@ -16,19 +16,19 @@
                      const LinkSharers& sharers,
                      std::uint64_t leaf) noexcept {
   const std::size_t hosts = std::max<std::size_t>(1, sharers.hosts);
-  const double each = rate / static_cast<double>(hosts);
-  if (each >= 1) {
-    return {static_cast<std::size_t>(each), kWindow};
+  const double per_host = rate / static_cast<double>(hosts);
+  if (per_host >= 1) {
+    return {static_cast<std::size_t>(per_host), kWindow};
   }
-  const auto users = static_cast<std::size_t>(std::max(1.0, rate));
-  if ((sharers.rank + leaf) % hosts >= users) {
+  const auto active_hosts = static_cast<std::size_t>(std::max(1.0, rate));
+  if ((sharers.rank + leaf) % hosts >= active_hosts) {
     return {0, kWindow};
   }
   return {1, scaled(kWindow, std::max(1.0, 1 / rate))};
 }
 
 bool ColdLimit::allows(TimePoint now) const noexcept {
-  return !this->limits(now) ||
+  return !this->is_limited(now) ||
          (this->share.calls > 0 && now >= this->free_at());
 }
 
@@ -49,7 +49,7 @@
 }
 
 void ColdLimit::on_call(TimePoint now) {
-  if (!this->limits(now)) {
+  if (!this->is_limited(now)) {
     this->recent.clear();
     return;
   }
--- a/ibismux/dispatch/cold_limit.h
+++ b/ibismux/dispatch/cold_limit.h
@@ -43,7 +43,7 @@
   void set_share(ColdShare share) noexcept { this->share = share; }
 
   /// The leaf reports that it is cold until `until`.
-  void set_told(TimePoint until) noexcept { this->told_until = until; }
+  void set_told(TimePoint until) noexcept { this->reported_until = until; }
 
   /// The leaf counts as cold until `until`, whatever it has reported.
   void assume(TimePoint until) noexcept { this->assumed_until = until; }
@@ -53,7 +53,7 @@
 
   /// Whether no call may start before the leaf is warm.
   [[nodiscard]] bool is_closed(TimePoint now) const noexcept {
-    return this->limits(now) && this->share.calls == 0;
+    return this->is_limited(now) && this->share.calls == 0;
   }
 
   /// The earliest time at which the next call may start; at least `now`.
@@ -63,17 +63,17 @@
   void on_call(TimePoint now);
 
  private:
-  [[nodiscard]] bool limits(TimePoint now) const noexcept {
+  [[nodiscard]] bool is_limited(TimePoint now) const noexcept {
     return this->share.window > Duration::zero() && now < this->warm_at();
   }
   [[nodiscard]] TimePoint warm_at() const noexcept {
-    return std::max(this->told_until, this->assumed_until);
+    return std::max(this->reported_until, this->assumed_until);
   }
   /// When the oldest of the last `share.calls` calls leaves the window.
   [[nodiscard]] TimePoint free_at() const noexcept;
 
   ColdShare share;
-  TimePoint told_until = TimePoint::min();
+  TimePoint reported_until = TimePoint::min();
   TimePoint assumed_until = TimePoint::min();
   std::deque<TimePoint> recent;  ///< Start times of the latest calls.
 };
--- a/ibismux/dispatch/leaf.cc
+++ b/ibismux/dispatch/leaf.cc
@@ -19,19 +19,19 @@
 
 // Longer than a pause of a leaf and than the delay from a lost first packet on
 // a low-latency path; a host without power doesn't answer at all.
-constexpr milliseconds kDialTime{400};
+constexpr milliseconds kDialTimeout{400};
 // A host whose leaf process has ended refuses a connection immediately. This
 // check delays the retry of a lost call by at most this long.
-constexpr milliseconds kCauseTime{40};
+constexpr milliseconds kEndCheckTimeout{40};
 // A crashed leaf needs at least seconds to restart; the short first pause
 // detects a leaf that has only reset its connections.
-constexpr milliseconds kFirstEjection{100};
-constexpr milliseconds kLongestEjection{1000};
+constexpr milliseconds kMinEjection{100};
+constexpr milliseconds kMaxEjection{1000};
 // A single call without an answer may be specific to that call.
 constexpr std::uint32_t kLossesToEject = 2;
 // A call that was cancelled before this multiple of the typical latency tells
 // nothing about the leaf.
-constexpr int kPatienceTimes = 4;
+constexpr int kMinWaitRatio = 4;
 
 }  // namespace
 
@@ -44,15 +44,15 @@
     : loop(loop),
       log(log),
       policy(policy),
-      known(std::move(entry)),
+      current_entry(std::move(entry)),
       on_free(std::move(on_free)),
-      links(connector, std::hash<std::string>()(this->known.run.id)),
-      warmer(loop.get_executor()) {
-  this->cold.set_told(Clock::now() + this->known.warmup_left);
+      links(connector, std::hash<std::string>()(this->current_entry.run.id)),
+      cold_timer(loop.get_executor()) {
+  this->cold.set_told(Clock::now() + this->current_entry.warmup_left);
 }
 
 void Leaf::update(const directory::LeafEntry& entry) {
-  this->known = entry;
+  this->current_entry = entry;
   this->cold.set_told(Clock::now() + entry.warmup_left);
 }
 
@@ -67,8 +67,9 @@
   if (next <= now || this->retired) {
     return;
   }
-  this->warmer.expires_at(next);
-  http::await_timer(this->warmer, this->weak_from_this(), &Leaf::tell_free);
+  this->cold_timer.expires_at(next);
+  http::await_timer(this->cold_timer, this->weak_from_this(),
+                    &Leaf::notify_free);
 }
 
 void Leaf::grant_links(LinkGrant grant) {
@@ -84,19 +85,19 @@
 void Leaf::end_run() {
   this->run_ended = true;
   this->retire();
-  // Closing a link ends its call later, on the event loop; `pending` doesn't
+  // Closing a link ends its call later, on the event loop; `in_flight` doesn't
   // change during the iteration.
-  for (const auto& [number, call] : this->pending) {
+  for (const auto& [number, call] : this->in_flight) {
     call.link->close();
   }
 }
 
-void Leaf::set_evacuated(bool out) {
-  if (std::exchange(this->evacuated, out) == out) {
+void Leaf::set_evacuated(bool evacuated) {
+  if (std::exchange(this->evacuated, evacuated) == evacuated) {
     return;
   }
-  this->links.set_closed(out || this->retired);
-  if (!out) {
+  this->links.set_closed(evacuated || this->retired);
+  if (!evacuated) {
     // Leafs may have become cold while they got no calls, and the entries that
     // report it may not have arrived yet.
     this->cold.assume(Clock::now() + this->warmup);
@@ -111,61 +112,62 @@
                                    : Duration::zero();
 }
 
-void Leaf::start(Order order) {
-  ++this->orders;
+void Leaf::start(CallSpec spec) {
+  ++this->active_count;
   this->cold.on_call(Clock::now());
-  asio::co_spawn(this->loop, run(this->shared_from_this(), std::move(order)),
+  asio::co_spawn(this->loop, run(this->shared_from_this(), std::move(spec)),
                  asio::detached);
 }
 
-Task<void> Leaf::run(std::shared_ptr<Leaf> self, Order order) {
-  CallEnd end = co_await exchange(self, order);
-  --self->orders;
-  order.on_end(std::move(end));
+Task<void> Leaf::run(std::shared_ptr<Leaf> self, CallSpec spec) {
+  CallEnd end = co_await exchange(self, spec);
+  --self->active_count;
+  spec.on_end(std::move(end));
   self->on_free();
 }
 
-Task<CallEnd> Leaf::exchange(std::shared_ptr<Leaf> self, Order& order) {
+Task<CallEnd> Leaf::exchange(std::shared_ptr<Leaf> self, CallSpec& spec) {
   Result<LinkPool::Acquired> acquired;
   if (auto idle = self->links.take_idle()) {
     acquired = *std::move(idle);
   } else {
-    auto dialled = co_await dial(self, order.call->deadline);
+    auto dialled = co_await dial(self, spec.call->deadline);
     acquired = std::move(dialled);
   }
   if (!acquired) {
     co_return CallEnd{tl::unexpected(std::move(acquired.error())), false};
   }
   std::unique_ptr<LeafLink> link = std::move(acquired->link);
-  if (order.active->given_up) {
+  if (spec.active->given_up) {
     self->links.give_back(std::move(link), false);
     co_return CallEnd{
         fail(ErrorKind::kCancelled, "given up before it was sent"), false};
   }
-  order.active->link = link.get();
-  order.active->sent_at = Clock::now();
-  const auto ticket = self->numbers.sent(*order.active->sent_at);
-  const std::uint64_t number = self->next_pending++;
-  self->pending.emplace(number,
-                        Pending{link.get(), std::move(order.on_unresponsive)});
-  auto reply = co_await link->call(order.call);
-  self->pending.erase(number);
-  order.active->link = nullptr;
+  spec.active->link = link.get();
+  spec.active->sent_at = Clock::now();
+  const auto ticket = self->performance.sent(*spec.active->sent_at);
+  const std::uint64_t number = self->next_call_number++;
+  self->in_flight.emplace(
+      number, InFlightCall{link.get(), std::move(spec.on_unresponsive)});
+  auto reply = co_await link->call(spec.call);
+  self->in_flight.erase(number);
+  spec.active->link = nullptr;
   const bool sent = reply || reply.error().execution != Execution::kNotRun;
   CallEnd end{std::move(reply), sent};
-  self->judge(end, ticket, order, acquired->is_new, Clock::now());
+  self->record_end(end, ticket, spec, acquired->is_new, Clock::now());
   self->links.give_back(std::move(link), true);
-  const bool is_lost = !end.reply && sent && !order.active->given_up &&
+  const bool is_lost = !end.reply && sent && !spec.active->given_up &&
                        end.reply.error().kind == ErrorKind::kLeafUnavailable;
-  if (is_lost && order.crashes && order.crashes->asks_for_cause()) {
-    const bool ended = co_await has_ended(self);
+  if (is_lost && spec.crashes && spec.crashes->asks_for_cause()) {
+    const bool ended = co_await process_has_ended(self);
     end.leaf_ended = ended;
   }
   co_return end;
 }
 
 Task<Result<void>> Leaf::open_idle(std::shared_ptr<Leaf> self, Duration time) {
-  auto dialled = co_await self->links.dial(self->known, Clock::now() + time);
+  auto dialled =
+      co_await self->links.dial(self->current_entry, Clock::now() + time);
   if (!dialled) {
     co_return tl::unexpected(std::move(dialled.error()));
   }
@@ -173,131 +175,132 @@
   co_return Result<void>();
 }
 
-Task<bool> Leaf::has_ended(std::shared_ptr<Leaf> self) {
+Task<bool> Leaf::process_has_ended(std::shared_ptr<Leaf> self) {
   if (self->run_ended) {
     co_return true;
   }
-  const auto opened = co_await open_idle(self, kCauseTime);
+  const auto opened = co_await open_idle(self, kEndCheckTimeout);
   if (opened || opened.error().kind != ErrorKind::kLeafUnavailable) {
     co_return false;
   }
-  self->note_down("ended under a call: " + opened.error().message);
+  self->mark_unreachable("ended under a call: " + opened.error().message);
   co_return true;
 }
 
 Task<Result<LinkPool::Acquired>> Leaf::dial(std::shared_ptr<Leaf> self,
                                             TimePoint deadline) {
-  const TimePoint latest = Clock::now() + kDialTime;
-  auto dialled =
-      co_await self->links.dial(self->known, std::min(deadline, latest));
-  const bool in_a_hurry =
+  const TimePoint latest = Clock::now() + kDialTimeout;
+  auto dialled = co_await self->links.dial(self->current_entry,
+                                           std::min(deadline, latest));
+  const bool ended_early =
       !dialled && dialled.error().kind == ErrorKind::kDeadlineExceeded &&
       deadline < latest;
-  if (!dialled && !in_a_hurry) {
-    self->note_down("dial: " + dialled.error().message);
+  if (!dialled && !ended_early) {
+    self->mark_unreachable("dial: " + dialled.error().message);
   }
   co_return dialled;
 }
 
 Task<void> Leaf::open_ahead(std::shared_ptr<Leaf> self) {
-  const auto opened = co_await open_idle(self, kDialTime);
+  const auto opened = co_await open_idle(self, kDialTimeout);
   if (!opened) {
-    self->note_down("dial ahead: " + opened.error().message);
+    self->mark_unreachable("dial ahead: " + opened.error().message);
     co_return;
   }
   self->on_free();
 }
 
-void Leaf::note_down(std::string_view reason) {
-  this->was_down = true;
+void Leaf::mark_unreachable(std::string_view reason) {
+  this->was_unreachable = true;
   this->eject(reason);
 }
 
-void Leaf::judge(const CallEnd& end,
-                 LeafEstimate::Ticket ticket,
-                 const Order& order,
-                 bool first_use,
-                 TimePoint now) {
+void Leaf::record_end(const CallEnd& end,
+                      LeafEstimate::Ticket ticket,
+                      const CallSpec& spec,
+                      bool first_use,
+                      TimePoint now) {
   if (!end.reply) {
-    if (first_use && !order.active->given_up &&
+    if (first_use && !spec.active->given_up &&
         end.reply.error().kind == ErrorKind::kLeafUnavailable) {
-      this->note_connection_limit(now);
+      this->record_connection_limit(now);
     }
-    this->judge_loss(end.reply.error(), ticket, order, now);
+    this->record_loss(end.reply.error(), ticket, spec, now);
     return;
   }
-  this->losses = 0;
+  this->consecutive_losses = 0;
   this->links.note_answer();
   if (this->policy.use_leaf_load && end.reply->load &&
       end.reply->kind != LeafReply::Kind::kOtherInstance) {
-    this->numbers.note_load(*end.reply->load, now);
+    this->performance.note_load(*end.reply->load, now);
   }
   switch (end.reply->kind) {
     case LeafReply::Kind::kSuccess:
-      this->window.on_answer(now - *ticket, order.unloaded, this->orders, now);
-      this->numbers.answered(ticket, order.usual, now);
+      this->window.on_answer(now - *ticket, spec.unloaded, this->active_count,
+                             now);
+      this->performance.answered(ticket, spec.usual, now);
       break;
     case LeafReply::Kind::kNotRun:
       this->window.on_turned_away(now);
-      this->numbers.failed(ticket, now);
+      this->performance.failed(ticket, now);
       break;
     case LeafReply::Kind::kFailure:
-      this->numbers.failed(ticket, now);
+      this->performance.failed(ticket, now);
       break;
     case LeafReply::Kind::kOtherInstance:
-      this->numbers.failed(ticket, now);
+      this->performance.failed(ticket, now);
       this->log.event(eventlog::Weight::kBelief, "leaf_replaced")
-          .with("leaf", this->known.run.id)
-          .with("service", this->known.service)
-          .with("address", this->known.address)
-          .with("request", order.call->request_id);
+          .with("leaf", this->current_entry.run.id)
+          .with("service", this->current_entry.service)
+          .with("address", this->current_entry.address)
+          .with("request", spec.call->request_id);
       this->retire();
       break;
   }
 }
 
-void Leaf::judge_loss(const Error& error,
-                      LeafEstimate::Ticket ticket,
-                      const Order& order,
-                      TimePoint now) {
+void Leaf::record_loss(const Error& error,
+                       LeafEstimate::Ticket ticket,
+                       const CallSpec& spec,
+                       TimePoint now) {
   const Duration waited = now - *ticket;
   // A call that was cancelled or reached its deadline before the leaf could be
   // expected to answer tells nothing about the leaf. After an outage the last
   // attempts of callers have little time left, and would otherwise get healthy
   // leafs ejected.
-  const bool in_a_hurry =
-      order.active->given_up || error.kind == ErrorKind::kDeadlineExceeded;
-  if (in_a_hurry && waited < order.usual * kPatienceTimes) {
-    this->numbers.answered(ticket, order.usual, *ticket + order.usual);
+  const bool ended_early =
+      spec.active->given_up || error.kind == ErrorKind::kDeadlineExceeded;
+  if (ended_early && waited < spec.usual * kMinWaitRatio) {
+    this->performance.answered(ticket, spec.usual, *ticket + spec.usual);
     return;
   }
-  this->numbers.lost(ticket, now);
+  this->performance.lost(ticket, now);
   if (this->links.is_at_connection_limit(now)) {
     return;
   }
-  ++this->losses;
-  if (this->losses >= kLossesToEject) {
+  ++this->consecutive_losses;
+  if (this->consecutive_losses >= kLossesToEject) {
     this->eject("no answers: " + error.message);
   }
 }
 
-void Leaf::note_connection_limit(TimePoint now) {
+void Leaf::record_connection_limit(TimePoint now) {
   const Duration pause = this->links.note_connection_limit(now);
   this->log.event(eventlog::Weight::kBelief, "leaf_connection_limit")
-      .with("leaf", this->known.run.id)
-      .with("service", this->known.service)
+      .with("leaf", this->current_entry.run.id)
+      .with("service", this->current_entry.service)
       .with("open_links", this->links.open())
       .with("pause_ms", pause);
 }
 
 void Leaf::report_unresponsive(TimePoint now) {
   this->log.event(eventlog::Weight::kBelief, "leaf_unresponsive")
-      .with("leaf", this->known.run.id)
-      .with("service", this->known.service)
-      .with("under_way", this->numbers.under_way())
-      .with("ratio", this->numbers.ratio(now));
+      .with("leaf", this->current_entry.run.id)
+      .with("service", this->current_entry.service)
+      .with("under_way", this->performance.under_way())
+      .with("ratio", this->performance.ratio(now));
   std::vector<std::function<void()>> notified;
-  for (auto& [number, call] : this->pending) {
+  for (auto& [number, call] : this->in_flight) {
     if (auto on_unresponsive = std::exchange(call.on_unresponsive, nullptr)) {
       notified.push_back(std::move(on_unresponsive));
     }
@@ -313,10 +316,10 @@
   }
   this->ejected = true;
   this->log.event(eventlog::Weight::kBelief, "leaf_ejected")
-      .with("leaf", this->known.run.id)
-      .with("service", this->known.service)
-      .with("address", this->known.address)
-      .with("losses", this->losses)
+      .with("leaf", this->current_entry.run.id)
+      .with("service", this->current_entry.service)
+      .with("address", this->current_entry.address)
+      .with("losses", this->consecutive_losses)
       .with("reason", reason);
   asio::co_spawn(this->loop, probe(this->shared_from_this()), asio::detached);
 }
@@ -325,37 +328,38 @@
   // Probes with a connection attempt instead of a request: it shows whether the
   // leaf is alive without making a caller wait for the result.
   http::Timer timer(self->loop.get_executor());
-  Duration pause = kFirstEjection;
-  for (std::uint32_t i = 1; i < self->losses && pause < kLongestEjection; ++i) {
+  Duration pause = kMinEjection;
+  for (std::uint32_t i = 1;
+       i < self->consecutive_losses && pause < kMaxEjection; ++i) {
     pause *= 2;
   }
   while (!self->retired) {
-    pause = std::min<Duration>(pause, kLongestEjection);
+    pause = std::min<Duration>(pause, kMaxEjection);
     self->retry_at = Clock::now() + pause;
     timer.expires_at(self->retry_at);
     co_await timer.async_wait(asio::use_awaitable);
     if (self->retired) {
       break;
     }
-    const auto opened = co_await open_idle(self, kDialTime);
+    const auto opened = co_await open_idle(self, kDialTimeout);
     if (opened) {
-      self->come_back();
+      self->reinstate();
       break;
     }
-    self->was_down = true;
+    self->was_unreachable = true;
     pause *= 2;
   }
 }
 
-void Leaf::come_back() {
+void Leaf::reinstate() {
   this->ejected = false;
-  if (std::exchange(this->was_down, false)) {
+  if (std::exchange(this->was_unreachable, false)) {
     // The leaf accepts connections before the entry of its new run arrives.
     this->cold.assume(Clock::now() + this->warmup);
   }
   this->log.event(eventlog::Weight::kBelief, "leaf_back")
-      .with("leaf", this->known.run.id)
-      .with("service", this->known.service);
+      .with("leaf", this->current_entry.run.id)
+      .with("service", this->current_entry.service);
   this->on_free();
 }
 
--- a/ibismux/dispatch/leaf.h
+++ b/ibismux/dispatch/leaf.h
@@ -58,7 +58,7 @@
 class Leaf : public std::enable_shared_from_this<Leaf> {
  public:
   /// A call to be started at the leaf.
-  struct Order {
+  struct CallSpec {
     std::shared_ptr<const LeafCall> call;
     std::shared_ptr<ActiveCall> active;
     Duration usual;     ///< Latency of such a call at the median leaf.
@@ -84,7 +84,7 @@
        std::function<void()> on_free);
 
   [[nodiscard]] const directory::LeafEntry& entry() const noexcept {
-    return this->known;
+    return this->current_entry;
   }
   void update(const directory::LeafEntry& entry);
 
@@ -99,14 +99,14 @@
 
   /// Sets whether the leaf's zone is evacuated. If so, no call may start and
   /// idle links are closed; calls in flight continue.
-  void set_evacuated(bool out);
+  void set_evacuated(bool evacuated);
 
   /// @name Availability
   /// @{
 
   /// Whether the leaf may get calls at all.
   [[nodiscard]] bool in_service() const noexcept {
-    return !this->retired && !this->known.draining && !this->ejected &&
+    return !this->retired && !this->current_entry.draining && !this->ejected &&
            !this->evacuated;
   }
   [[nodiscard]] bool is_retired() const noexcept { return this->retired; }
@@ -116,8 +116,8 @@
   }
   [[nodiscard]] bool has_room() const noexcept {
     const TimePoint now = Clock::now();
-    return this->orders < this->most_calls() && this->links.has_room(now) &&
-           this->cold.allows(now);
+    return this->active_count < this->most_calls() &&
+           this->links.has_room(now) && this->cold.allows(now);
   }
   /// Whether the leaf is cold and this daemon may not call it before it is
   /// warm.
@@ -132,12 +132,12 @@
     return this->policy.learn_window ? this->window.size()
                                      : this->links.granted().most;
   }
-  [[nodiscard]] LeafEstimate& estimate() noexcept { return this->numbers; }
+  [[nodiscard]] LeafEstimate& estimate() noexcept { return this->performance; }
   [[nodiscard]] const LeafEstimate& estimate() const noexcept {
-    return this->numbers;
+    return this->performance;
   }
   /// Calls of this daemon that are in flight or wait for their link.
-  [[nodiscard]] std::size_t busy() const noexcept { return this->orders; }
+  [[nodiscard]] std::size_t busy() const noexcept { return this->active_count; }
   /// Time until an ejected leaf is probed again, or until a leaf that may not
   /// be called while it is cold is warm; zero if neither applies.
   [[nodiscard]] Duration until_retry(TimePoint now) const noexcept;
@@ -164,16 +164,17 @@
   [[nodiscard]] static Task<void> open_ahead(std::shared_ptr<Leaf> self);
 
   /// Starts a call. Precondition: `has_room()`.
-  void start(Order order);
+  void start(CallSpec spec);
 
   /// Calls `on_unresponsive` of all calls in flight, so that a call that has
   /// waited too long causes the calls after it to be hedged as well.
   void report_unresponsive(TimePoint now);
 
  private:
-  [[nodiscard]] static Task<void> run(std::shared_ptr<Leaf> self, Order order);
+  [[nodiscard]] static Task<void> run(std::shared_ptr<Leaf> self,
+                                      CallSpec spec);
   [[nodiscard]] static Task<CallEnd> exchange(std::shared_ptr<Leaf> self,
-                                              Order& order);
+                                              CallSpec& spec);
   /// Opens a new link. Ejects the leaf if it can't be dialled.
   [[nodiscard]] static Task<Result<LinkPool::Acquired>> dial(
       std::shared_ptr<Leaf> self,
@@ -183,57 +184,57 @@
   [[nodiscard]] static Task<Result<void>> open_idle(std::shared_ptr<Leaf> self,
                                                     Duration time);
   /// Checks after a lost connection whether the leaf's process has ended.
-  [[nodiscard]] static Task<bool> has_ended(std::shared_ptr<Leaf> self);
+  [[nodiscard]] static Task<bool> process_has_ended(std::shared_ptr<Leaf> self);
 
   /// @param first_use No call went over the link before.
-  void judge(const CallEnd& end,
-             LeafEstimate::Ticket ticket,
-             const Order& order,
-             bool first_use,
-             TimePoint now);
-  void judge_loss(const Error& error,
+  void record_end(const CallEnd& end,
                   LeafEstimate::Ticket ticket,
-                  const Order& order,
+                  const CallSpec& spec,
+                  bool first_use,
                   TimePoint now);
-  void note_connection_limit(TimePoint now);
+  void record_loss(const Error& error,
+                   LeafEstimate::Ticket ticket,
+                   const CallSpec& spec,
+                   TimePoint now);
+  void record_connection_limit(TimePoint now);
   /// Ejects the leaf because no connection can be made. @param reason For the
   /// log.
-  void note_down(std::string_view reason);
-  void tell_free() { this->on_free(); }
+  void mark_unreachable(std::string_view reason);
+  void notify_free() { this->on_free(); }
   void eject(std::string_view reason);
-  void come_back();
+  void reinstate();
 
   boost::asio::io_context& loop;
   eventlog::EventLog& log;
   const DispatchPolicy& policy;
-  directory::LeafEntry known;
+  directory::LeafEntry current_entry;
   const std::function<void()> on_free;
 
   LinkPool links;
-  std::size_t orders = 0;
-  LeafEstimate numbers;
+  std::size_t active_count = 0;
+  LeafEstimate performance;
   CallWindow window;
 
   bool retired = false;
   bool run_ended = false;  ///< The leaf's entry names a later run.
   ColdLimit cold;
   Duration warmup{0};
-  http::Timer warmer;  ///< For `announce_when_warmer()`.
+  http::Timer cold_timer;  ///< For `announce_when_warmer()`.
   bool ejected = false;
   /// A connection attempt has failed since the leaf was last reinstated: its
   /// process may have been restarted.
-  bool was_down = false;
+  bool was_unreachable = false;
   bool evacuated = false;
-  std::uint32_t losses = 0;  ///< Consecutive calls without an answer.
+  std::uint32_t consecutive_losses = 0;  ///< Calls without an answer.
   TimePoint retry_at = TimePoint::min();
 
   /// A call that was sent and has not been answered.
-  struct Pending {
+  struct InFlightCall {
     LeafLink* link = nullptr;
     std::function<void()> on_unresponsive;  ///< Empty once it was called.
   };
-  std::map<std::uint64_t, Pending> pending;  ///< By sequence number.
-  std::uint64_t next_pending = 0;
+  std::map<std::uint64_t, InFlightCall> in_flight;  ///< By sequence number.
+  std::uint64_t next_call_number = 0;
 };
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/leaf_cost.cc
+++ b/ibismux/dispatch/leaf_cost.cc
@@ -23,17 +23,17 @@
 }  // namespace
 
 Duration leaf_cost(const LeafState& leaf,
-                   Duration usual,
+                   Duration typical_latency,
                    Duration objective,
                    double remote_cost) noexcept {
   const double slots =
       static_cast<double>(std::max<std::size_t>(1, leaf.slots));
   const double load = 1 + static_cast<double>(leaf.busy) / slots;
   Duration cost =
-      scaled(usual, leaf.ratio * (leaf.cold ? kColdRatio : 1) * load);
+      scaled(typical_latency, leaf.ratio * (leaf.cold ? kColdRatio : 1) * load);
   cost += scaled(objective, leaf.failure_share * kFailureCost);
   if (leaf.remote) {
-    cost += scaled(usual, remote_cost);
+    cost += scaled(typical_latency, remote_cost);
   }
   if (!leaf.keeps_links) {
     cost += scaled(objective, kLastResortCost);
--- a/ibismux/dispatch/leaf_cost.h
+++ b/ibismux/dispatch/leaf_cost.h
@@ -26,7 +26,7 @@
 /// @param objective Latency objective of the caller.
 /// @param remote_cost See `DispatchSettings`.
 [[nodiscard]] Duration leaf_cost(const LeafState& leaf,
-                                 Duration usual,
+                                 Duration typical_latency,
                                  Duration objective,
                                  double remote_cost) noexcept;
 
--- a/ibismux/dispatch/leaf_estimate.cc
+++ b/ibismux/dispatch/leaf_estimate.cc
@@ -8,14 +8,16 @@
 namespace ibismux::dispatch {
 
 LeafEstimate::Ticket LeafEstimate::sent(TimePoint now) {
-  return this->waiting.insert(now);
+  return this->send_times.insert(now);
 }
 
-void LeafEstimate::answered(Ticket ticket, Duration usual, TimePoint now) {
+void LeafEstimate::answered(Ticket ticket,
+                            Duration typical_latency,
+                            TimePoint now) {
   const double took = to_seconds(now - *ticket);
-  const double ratio = took / std::max(to_seconds(usual), 1e-6);
+  const double ratio = took / std::max(to_seconds(typical_latency), 1e-6);
   this->last_answer = now;
-  this->end(ticket, std::clamp(ratio, 1.0, kMostRatio), 0, now);
+  this->end(ticket, std::clamp(ratio, 1.0, kMaxRatio), 0, now);
 }
 
 void LeafEstimate::failed(Ticket ticket, TimePoint now) {
@@ -24,32 +26,33 @@
 }
 
 void LeafEstimate::lost(Ticket ticket, TimePoint now) {
-  this->end(ticket, kMostRatio, 1, now);
+  this->end(ticket, kMaxRatio, 1, now);
 }
 
-bool LeafEstimate::is_unresponsive(Duration patience,
+bool LeafEstimate::is_unresponsive(Duration max_silence,
                                    TimePoint now) const noexcept {
-  if (this->waiting.empty()) {
+  if (this->send_times.empty()) {
     return false;
   }
-  const TimePoint since = std::max(*this->waiting.begin(), this->last_answer);
-  return now - since > patience;
+  const TimePoint since =
+      std::max(*this->send_times.begin(), this->last_answer);
+  return now - since > max_silence;
 }
 
 double LeafEstimate::ratio(TimePoint now) const noexcept {
-  const double seen = this->blend(this->excess * this->fading(now),
+  const double seen = this->blend(this->excess * this->decay(now),
                                   this->peer_report.excess, now);
-  return 1 + std::max(seen, this->told_excess(now));
+  return 1 + std::max(seen, this->decayed_load_excess(now));
 }
 
 void LeafEstimate::note_load(const LeafLoad& load, TimePoint now) noexcept {
   const double queue = static_cast<double>(load.waiting) / load.slots;
   const double ratio = load.slowdown.value_or(1) * (1 + queue);
-  this->load_excess = std::clamp(ratio, 1.0, kMostRatio) - 1;
+  this->load_excess = std::clamp(ratio, 1.0, kMaxRatio) - 1;
   this->load_at = now;
 }
 
-double LeafEstimate::told_excess(TimePoint now) const noexcept {
+double LeafEstimate::decayed_load_excess(TimePoint now) const noexcept {
   if (this->load_at == TimePoint::min()) {
     return 0;
   }
@@ -58,25 +61,25 @@
 }
 
 double LeafEstimate::failure_share(TimePoint now) const noexcept {
-  return this->blend(this->failures * this->fading(now),
+  return this->blend(this->failures * this->decay(now),
                      this->peer_report.failures, now);
 }
 
 void LeafEstimate::merge_report(const PeerReport& report, TimePoint now) {
   this->peer_report = report;
-  this->peer_report.excess = std::min(report.excess, kMostRatio - 1);
+  this->peer_report.excess = std::min(report.excess, kMaxRatio - 1);
   this->peer_report.failures = std::min(report.failures, 1.0);
-  this->peer_report.samples = std::min(report.samples, kMostReportSamples);
+  this->peer_report.samples = std::min(report.samples, kMaxReportSamples);
   this->peer_report_at = now;
 }
 
 bool LeafEstimate::has_peer_report(TimePoint now) const noexcept {
-  const double kept = this->peer_report_fading(now);
-  return this->peer_report.excess * kept >= kLeastReportWeight ||
-         this->peer_report.failures * kept >= kLeastReportWeight;
+  const double kept = this->peer_report_decay(now);
+  return this->peer_report.excess * kept >= kMinReportWeight ||
+         this->peer_report.failures * kept >= kMinReportWeight;
 }
 
-double LeafEstimate::peer_report_fading(TimePoint now) const noexcept {
+double LeafEstimate::peer_report_decay(TimePoint now) const noexcept {
   if (this->peer_report_at == TimePoint::min()) {
     return 0;
   }
@@ -88,16 +91,16 @@
 double LeafEstimate::blend(double own,
                            double reported,
                            TimePoint now) const noexcept {
-  const double kept = this->peer_report_fading(now);
-  if (kept < kLeastReportWeight) {
+  const double kept = this->peer_report_decay(now);
+  if (kept < kMinReportWeight) {
     return own;
   }
-  const double weight = this->own_samples * this->fading(now);
+  const double weight = this->own_samples * this->decay(now);
   return (own * weight + reported * kept * this->peer_report.samples) /
          (weight + this->peer_report.samples);
 }
 
-double LeafEstimate::fading(TimePoint now) const noexcept {
+double LeafEstimate::decay(TimePoint now) const noexcept {
   if (this->updated == TimePoint::min()) {
     return 0;
   }
@@ -108,8 +111,8 @@
                        double ratio,
                        double failure,
                        TimePoint now) {
-  this->waiting.erase(ticket);
-  const double kept = this->fading(now) * (1 - kWeight);
+  this->send_times.erase(ticket);
+  const double kept = this->decay(now) * (1 - kWeight);
   this->excess = this->excess * kept + (ratio - 1) * kWeight;
   this->failures = this->failures * kept + failure * kWeight;
   this->own_samples = this->own_samples * kept + 1;
--- a/ibismux/dispatch/leaf_estimate.h
+++ b/ibismux/dispatch/leaf_estimate.h
@@ -20,7 +20,7 @@
 /// before the deadline of the call, and for all calls: waiting calls are sent
 /// to other leafs, and new calls avoid this one. Unlike a paused leaf, a slow
 /// leaf goes on answering. A call that was caught in a pause counts as at most
-/// `kMostRatio` times the typical latency, so that one pause doesn't divert the
+/// `kMaxRatio` times the typical latency, so that one pause doesn't divert the
 /// leaf's traffic after it has ended.
 ///
 /// Not thread safe. Time arguments must not decrease.
@@ -33,7 +33,7 @@
   /// @{
   [[nodiscard]] Ticket sent(TimePoint now);
   /// @param usual Latency of a call of this kind at the median leaf.
-  void answered(Ticket ticket, Duration usual, TimePoint now);
+  void answered(Ticket ticket, Duration typical_latency, TimePoint now);
   /// The leaf answered that the call failed or was rejected.
   void failed(Ticket ticket, TimePoint now);
   /// The call ended without any answer.
@@ -66,8 +66,8 @@
   /// Whether peers report that the leaf is slow or failing.
   [[nodiscard]] bool has_peer_report(TimePoint now) const noexcept;
 
-  /// Whether calls are in flight and no answer has arrived for `patience`.
-  [[nodiscard]] bool is_unresponsive(Duration patience,
+  /// Whether calls are in flight and no answer has arrived for `max_silence`.
+  [[nodiscard]] bool is_unresponsive(Duration max_silence,
                                      TimePoint now) const noexcept;
 
   /// Expected latency of a call as a multiple of the typical latency: the
@@ -80,12 +80,12 @@
   [[nodiscard]] double failure_share(TimePoint now) const noexcept;
 
   [[nodiscard]] std::size_t under_way() const noexcept {
-    return this->waiting.size();
+    return this->send_times.size();
   }
 
  private:
   // Maximum ratio that one call counts for.
-  static constexpr double kMostRatio = 5;
+  static constexpr double kMaxRatio = 5;
   // Weight of a new sample: four calls in a row halve the distance to the new
   // value.
   static constexpr double kWeight = 0.16;
@@ -94,27 +94,27 @@
   static constexpr double kHalfLifeSeconds = 2.5;
 
   // A peer report weighs at most as much as this many calls of this daemon.
-  static constexpr double kMostReportSamples = 12;
+  static constexpr double kMaxReportSamples = 12;
   // A peer report keeps its full weight for this long; while leafs are called,
   // a new one arrives twice a second.
   static constexpr std::chrono::milliseconds kReportFreshFor{1500};
   // A peer report of less than this remaining weight is ignored.
-  static constexpr double kLeastReportWeight = 0.1;
+  static constexpr double kMinReportWeight = 0.1;
 
   // Half-life of the load that a leaf reported: queue lengths and the speed of
   // a shared machine change many times a second.
   static constexpr double kLoadHalfLifeSeconds = 0.1;
 
-  [[nodiscard]] double fading(TimePoint now) const noexcept;
-  [[nodiscard]] double told_excess(TimePoint now) const noexcept;
-  [[nodiscard]] double peer_report_fading(TimePoint now) const noexcept;
+  [[nodiscard]] double decay(TimePoint now) const noexcept;
+  [[nodiscard]] double decayed_load_excess(TimePoint now) const noexcept;
+  [[nodiscard]] double peer_report_decay(TimePoint now) const noexcept;
   /// The weighted mean of this daemon's own value and the reported one.
   [[nodiscard]] double blend(double own,
                              double reported,
                              TimePoint now) const noexcept;
   void end(Ticket ticket, double ratio, double failure, TimePoint now);
 
-  std::multiset<TimePoint> waiting;  ///< Send times of the calls in flight.
+  std::multiset<TimePoint> send_times;  ///< Of the calls in flight.
   TimePoint last_answer = TimePoint::min();
   double excess = 0;  ///< The ratio above 1, as of `updated`.
   double failures = 0;
--- a/ibismux/dispatch/link_opener.cc
+++ b/ibismux/dispatch/link_opener.cc
@@ -16,15 +16,15 @@
 
 // Interval while links are missing: 100 dials per second, which leave a slow
 // host time for its callers.
-constexpr milliseconds kPace{20};
-constexpr std::size_t kDialsATick = 2;
+constexpr milliseconds kDialInterval{20};
+constexpr std::size_t kDialsPerTick = 2;
 // Concurrent dials: a leaf that doesn't answer a dial must not delay the
 // others, and many such leafs must not exhaust the file descriptors of the
 // process.
-constexpr std::size_t kMostOpening = 16;
+constexpr std::size_t kMaxConcurrentDials = 16;
 // Interval while no link is missing; a lost link is noticed after at most this
 // long.
-constexpr milliseconds kIdlePace{250};
+constexpr milliseconds kIdleInterval{250};
 
 }  // namespace
 
@@ -45,33 +45,33 @@
 void LinkOpener::tick() {
   std::erase_if(this->leafs,
                 [](const auto& leaf) { return leaf->is_retired(); });
-  const bool busy = this->open_some(Clock::now());
-  this->timer.expires_after(busy ? kPace : kIdlePace);
+  const bool busy = this->start_dials(Clock::now());
+  this->timer.expires_after(busy ? kDialInterval : kIdleInterval);
   http::await_timer(this->timer, this->weak_from_this(), &LinkOpener::tick);
 }
 
-bool LinkOpener::open_some(TimePoint now) {
-  std::size_t begun = 0;
-  for (std::size_t looked = 0;
-       looked < this->leafs.size() && begun < kDialsATick &&
-       this->opening < kMostOpening;
-       ++looked) {
-    this->next = (this->next + 1) % this->leafs.size();
-    const std::shared_ptr<Leaf>& leaf = this->leafs[this->next];
+bool LinkOpener::start_dials(TimePoint now) {
+  std::size_t started = 0;
+  for (std::size_t examined = 0;
+       examined < this->leafs.size() && started < kDialsPerTick &&
+       this->dials_in_progress < kMaxConcurrentDials;
+       ++examined) {
+    this->last_examined = (this->last_examined + 1) % this->leafs.size();
+    const std::shared_ptr<Leaf>& leaf = this->leafs[this->last_examined];
     if (leaf->wants_link(now)) {
-      ++begun;
-      ++this->opening;
+      ++started;
+      ++this->dials_in_progress;
       boost::asio::co_spawn(this->loop, open(this->shared_from_this(), leaf),
                             boost::asio::detached);
     }
   }
-  return begun > 0 || this->opening >= kMostOpening;
+  return started > 0 || this->dials_in_progress >= kMaxConcurrentDials;
 }
 
 Task<void> LinkOpener::open(std::shared_ptr<LinkOpener> self,
                             std::shared_ptr<Leaf> leaf) {
   co_await Leaf::open_ahead(std::move(leaf));
-  --self->opening;
+  --self->dials_in_progress;
 }
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/link_opener.h
+++ b/ibismux/dispatch/link_opener.h
@@ -43,15 +43,15 @@
   void tick();
   /// Starts the dials of one tick. @return Whether any dial was started, or the
   /// limit of concurrent dials is reached.
-  bool open_some(TimePoint now);
+  bool start_dials(TimePoint now);
   [[nodiscard]] static Task<void> open(std::shared_ptr<LinkOpener> self,
                                        std::shared_ptr<Leaf> leaf);
 
   boost::asio::io_context& loop;
   pcg32 random;
   std::vector<std::shared_ptr<Leaf>> leafs;  ///< In the order of this daemon.
-  std::size_t next = 0;     ///< The last leaf that was examined.
-  std::size_t opening = 0;  ///< Dials in progress.
+  std::size_t last_examined = 0;             ///< Index in `leafs`.
+  std::size_t dials_in_progress = 0;
   http::Timer timer;
 };
 
--- a/ibismux/dispatch/link_plan.cc
+++ b/ibismux/dispatch/link_plan.cc
@@ -10,45 +10,45 @@
 
 // Share of a leaf's connection limit that daemons use; the rest is for links
 // that are being closed and for daemons that have just been replaced.
-constexpr double kUsable = 0.9;
+constexpr double kUsableShare = 0.9;
 // Number of replicas of a shard to which a daemon keeps links if the limits
 // allow it: the second replaces a failed first one; a third is rarely needed.
 constexpr std::size_t kReplicasWanted = 2;
 // Share of a leaf's connection limit that is kept open if only some daemons can
-// keep links to `kReplicasWanted` replicas. Less than `kUsable`, because hedged
-// calls of the other daemons open connections too.
-constexpr double kUsableForSome = 0.8;
+// keep links to `kReplicasWanted` replicas. Less than `kUsableShare`, because
+// hedged calls of the other daemons open connections too.
+constexpr double kPartlyUsableShare = 0.8;
 // Share of a leaf's connection limit that is opened ahead of calls. After a
 // power loss of the fleet, leafs hold the old connections until their idle
 // timeout, so that the old and the new connections must fit at the same time.
-constexpr double kOpenedAhead = 0.45;
+constexpr double kOpenAheadShare = 0.45;
 // Links of all daemons together per slot of a leaf, and the minimum for one
 // daemon: one for a call being executed, one for a waiting call, and one for a
 // call caught in a pause.
 constexpr double kLinksPerSlot = 2;
-constexpr double kLeastUseful = 3;
+constexpr double kMinUsefulLinks = 3;
 
 // Share of a leaf's connection limit for the daemons that gather queries for
 // others, if there are any; the others need the rest when they gather queries
 // themselves.
-constexpr double kPartOfGatherers = 0.5;
+constexpr double kGathererShare = 0.5;
 
 // Links per leaf if an even share is less than two links per daemon. A leaf's
 // connection limit is mostly used up by idle links, so a daemon may open more
 // than its share for current calls, but keeps only its share.
 constexpr std::size_t kScarceLinks = 1;
 
-std::size_t whole(double number) {
+std::size_t floor_to_size(double number) {
   return static_cast<std::size_t>(std::max(0.0, number));
 }
 
 double usable(const Replica& replica) {
-  return static_cast<double>(replica.connections) * kUsable;
+  return static_cast<double>(replica.connections) * kUsableShare;
 }
 
 /// Indices of the replicas in this daemon's order of preference.
-std::vector<std::size_t> order(const std::vector<Replica>& replicas,
-                               const LinkSharers& sharers) {
+std::vector<std::size_t> preference_order(const std::vector<Replica>& replicas,
+                                          const LinkSharers& sharers) {
   std::vector<std::size_t> indices(replicas.size());
   std::iota(indices.begin(), indices.end(), std::size_t{0});
   const auto key = [&](std::size_t index) {
@@ -66,17 +66,17 @@
     return {};
   }
   const double useful = std::max(
-      kLeastUseful,
+      kMinUsefulLinks,
       std::ceil(kLinksPerSlot * static_cast<double>(replica.slots) / hosts));
   const double share = std::min(usable(replica) / hosts, useful);
-  return {.most = std::max<std::size_t>(1, whole(share)),
+  return {.most = std::max<std::size_t>(1, floor_to_size(share)),
           .keep = true,
           .open_ahead = open_ahead};
 }
 
 /// Connections to all replicas per daemon.
-double connections_each(const std::vector<Replica>& replicas,
-                        const LinkSharers& sharers) {
+double connections_per_host(const std::vector<Replica>& replicas,
+                            const LinkSharers& sharers) {
   double connections = 0;
   for (const Replica& replica : replicas) {
     connections += static_cast<double>(replica.connections);
@@ -86,27 +86,28 @@
 
 /// Rounds `room`, the average number of replicas per daemon, for the daemon of
 /// this rank: the fraction is the share of the daemons that get one more.
-std::size_t whole_for(double room, std::size_t rank) {
+std::size_t round_by_rank(double room, std::size_t rank) {
   // The fractional parts of multiples of the golden ratio spread any sequence
   // of ranks evenly over [0, 1), independently of other decisions by rank.
   constexpr double kGoldenRatio = 0.6180339887498949;
   const double place = static_cast<double>(rank) * kGoldenRatio;
   const bool one_more = place - std::floor(place) < room - std::floor(room);
-  return whole(room) + (one_more ? 1 : 0);
+  return floor_to_size(room) + (one_more ? 1 : 0);
 }
 
 /// The number of replicas to which a daemon keeps links.
-std::size_t replicas_kept(double each, std::size_t rank) {
-  const std::size_t all = whole(each * kUsable);
+std::size_t kept_replica_count(double per_host, std::size_t rank) {
+  const std::size_t all = floor_to_size(per_host * kUsableShare);
   if (all >= kReplicasWanted) {
     return all;
   }
-  return std::max<std::size_t>(1, whole_for(each * kUsableForSome, rank));
+  return std::max<std::size_t>(
+      1, round_by_rank(per_host * kPartlyUsableShare, rank));
 }
 
 /// The plan if all of `sharers` make about the same number of calls.
-std::vector<LinkGrant> plan_alike(const std::vector<Replica>& replicas,
-                                  const LinkSharers& sharers) {
+std::vector<LinkGrant> plan_uniform(const std::vector<Replica>& replicas,
+                                    const LinkSharers& sharers) {
   const double hosts = std::max<double>(1, static_cast<double>(sharers.hosts));
   const bool fleet_known = !sharers.hosts_by_zone.empty();
   std::vector<LinkGrant> grants;
@@ -118,10 +119,12 @@
   if (!scarce || !fleet_known) {
     return grants;
   }
-  const double each = connections_each(replicas, sharers);
-  const std::size_t kept = replicas_kept(each, sharers.rank);
-  const std::size_t ahead = whole_for(each * kOpenedAhead, sharers.rank);
-  const std::vector<std::size_t> preferred = order(replicas, sharers);
+  const double per_host = connections_per_host(replicas, sharers);
+  const std::size_t kept = kept_replica_count(per_host, sharers.rank);
+  const std::size_t ahead =
+      round_by_rank(per_host * kOpenAheadShare, sharers.rank);
+  const std::vector<std::size_t> preferred =
+      preference_order(replicas, sharers);
   for (std::size_t i = 0; i < preferred.size(); ++i) {
     LinkGrant& grant = grants[preferred[i]];
     grant.most = kScarceLinks;
@@ -136,20 +139,20 @@
 std::vector<LinkGrant> plan_links(const std::vector<Replica>& replicas,
                                   const LinkSharers& sharers) {
   if (!sharers.has_roles()) {
-    return plan_alike(replicas, sharers);
+    return plan_uniform(replicas, sharers);
   }
   std::vector<Replica> part = replicas;
   for (Replica& replica : part) {
     const double gathered =
-        static_cast<double>(replica.connections) * kPartOfGatherers;
+        static_cast<double>(replica.connections) * kGathererShare;
     replica.connections = sharers.gathers
-                              ? whole(gathered)
-                              : replica.connections - whole(gathered);
+                              ? floor_to_size(gathered)
+                              : replica.connections - floor_to_size(gathered);
   }
   LinkSharers group = sharers;
   group.hosts =
       sharers.gathers ? sharers.gatherers : sharers.hosts - sharers.gatherers;
-  return plan_alike(part, group);
+  return plan_uniform(part, group);
 }
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/link_pool.cc
+++ b/ibismux/dispatch/link_pool.cc
@@ -14,8 +14,8 @@
 
 // Backoff between dials to a leaf that resets connections: requests of callers
 // take some tenths of a second, and so does the queue of a leaf to drain.
-constexpr milliseconds kFirstDialPause{200};
-constexpr milliseconds kLongestDialPause{1600};
+constexpr milliseconds kMinDialPause{200};
+constexpr milliseconds kMaxDialPause{1600};
 
 }  // namespace
 
@@ -23,7 +23,7 @@
     : connector(connector), random(seed) {}
 
 void LinkPool::grant(LinkGrant grant) {
-  this->grant_in_force = grant;
+  this->current_grant = grant;
   if (!grant.keep) {
     this->close_idle();
   }
@@ -43,17 +43,17 @@
 
 bool LinkPool::wants_link(TimePoint now) {
   const std::size_t dropped =
-      std::erase_if(this->idle, [&](const IdleLink& one) {
-        if (one.link->usable()) {
+      std::erase_if(this->idle, [&](const IdleLink& idle_link) {
+        if (idle_link.link->usable()) {
           return false;
         }
-        if (!one.used) {
+        if (!idle_link.used) {
           this->reopen.on_unused_end(now);
         }
         return true;
       });
   this->open_links -= dropped;
-  return !this->closed && this->grant_in_force.open_ahead &&
+  return !this->closed && this->current_grant.open_ahead &&
          this->open_links == 0 && !this->is_at_connection_limit(now) &&
          this->reopen.is_over(now);
 }
@@ -88,7 +88,7 @@
   if (used) {
     this->reopen.on_use();
   }
-  if (this->closed || !this->grant_in_force.keep || !link->usable()) {
+  if (this->closed || !this->current_grant.keep || !link->usable()) {
     --this->open_links;
     return;
   }
@@ -96,11 +96,11 @@
 }
 
 Duration LinkPool::note_connection_limit(TimePoint now) {
-  this->dial_pause = std::clamp<Duration>(this->dial_pause * 2, kFirstDialPause,
-                                          kLongestDialPause);
-  const double part =
+  this->backoff =
+      std::clamp<Duration>(this->backoff * 2, kMinDialPause, kMaxDialPause);
+  const double jitter =
       std::uniform_real_distribution<double>(0.5, 1)(this->random);
-  const Duration pause = scaled(this->dial_pause, part);
+  const Duration pause = scaled(this->backoff, jitter);
   this->no_dial_before = now + pause;
   return pause;
 }
--- a/ibismux/dispatch/link_pool.h
+++ b/ibismux/dispatch/link_pool.h
@@ -36,7 +36,7 @@
   /// @{
   void grant(LinkGrant grant);
   [[nodiscard]] const LinkGrant& granted() const noexcept {
-    return this->grant_in_force;
+    return this->current_grant;
   }
   /// While closed, idle links are not kept and no link is opened ahead of
   /// calls.
@@ -50,7 +50,7 @@
   [[nodiscard]] std::size_t open() const noexcept { return this->open_links; }
   /// Whether an idle link is available or another one may be opened.
   [[nodiscard]] bool has_room(TimePoint now) const noexcept {
-    return this->has_idle() || (this->open_links < this->grant_in_force.most &&
+    return this->has_idle() || (this->open_links < this->current_grant.most &&
                                 !this->is_at_connection_limit(now));
   }
   /// Whether the leaf is assumed to be at its connection limit.
@@ -84,7 +84,7 @@
   /// @return How long no link is dialled.
   Duration note_connection_limit(TimePoint now);
   /// Records an answer of the leaf, which resets the backoff.
-  void note_answer() noexcept { this->dial_pause = Duration::zero(); }
+  void note_answer() noexcept { this->backoff = Duration::zero(); }
   /// @}
 
  private:
@@ -96,7 +96,7 @@
   void close_idle() noexcept;
 
   const LeafConnector& connector;
-  LinkGrant grant_in_force;
+  LinkGrant current_grant;
   bool closed = false;
   std::size_t open_links = 0;
   std::vector<IdleLink> idle;
@@ -104,7 +104,7 @@
 
   // Backoff while the leaf resets new connections.
   TimePoint no_dial_before = TimePoint::min();
-  Duration dial_pause{0};
+  Duration backoff{0};
   pcg32 random;
 };
 
--- a/ibismux/dispatch/reopen_pause.h
+++ b/ibismux/dispatch/reopen_pause.h
@@ -22,30 +22,30 @@
  public:
   /// A link was closed without having carried a call.
   void on_unused_end(TimePoint now) noexcept {
-    this->pause = std::clamp<Duration>(this->pause * 2, kFirst, kLongest);
-    this->until = now + this->pause;
+    this->pause = std::clamp<Duration>(this->pause * 2, kMinPause, kMaxPause);
+    this->paused_until = now + this->pause;
   }
 
   /// A link has carried a call.
   void on_use() noexcept {
     this->pause = Duration::zero();
-    this->until = TimePoint::min();
+    this->paused_until = TimePoint::min();
   }
 
   /// Whether a link may be opened ahead of calls now.
   [[nodiscard]] bool is_over(TimePoint now) const noexcept {
-    return now >= this->until;
+    return now >= this->paused_until;
   }
 
  private:
   // About the shortest idle timeout of leafs.
-  static constexpr std::chrono::milliseconds kFirst{1000};
+  static constexpr std::chrono::milliseconds kMinPause{1000};
   // An hour without calls costs as many links as a few minutes would without
   // pauses, and a daemon that gets calls again doesn't wait long for its links.
-  static constexpr std::chrono::milliseconds kLongest{30'000};
+  static constexpr std::chrono::milliseconds kMaxPause{30'000};
 
   Duration pause{0};
-  TimePoint until = TimePoint::min();
+  TimePoint paused_until = TimePoint::min();
 };
 
 }  // namespace ibismux::dispatch
--- a/tests/dispatch/fake_leafs.h
+++ b/tests/dispatch/fake_leafs.h
@@ -87,19 +87,19 @@
 
   Task<Result<void>> open(TimePoint) override {
     ++this->leafs.dials[this->instance];
-    if (this->now().refuses_dials || this->has_ended()) {
+    if (this->current_behaviour().refuses_dials || this->has_ended()) {
       Error error = make_error(ErrorKind::kLeafUnavailable, "refused");
       error.execution = Execution::kNotRun;
       co_return tl::unexpected(std::move(error));
     }
-    co_await pause(this->now().dial);
+    co_await pause(this->current_behaviour().dial);
     this->is_open = true;
-    this->opened_in = this->leafs.epoch;
+    this->opened_epoch = this->leafs.epoch;
     co_return Result<void>();
   }
 
   Task<Result<LeafReply>> call(std::shared_ptr<const LeafCall> call) override {
-    const Behaviour behaviour = this->now();
+    const Behaviour behaviour = this->current_behaviour();
     LeafReply reply;
     reply.answer.receipt = this->instance + "." + call->request_id;
     if (behaviour.replaced) {
@@ -112,10 +112,10 @@
     }
     this->leafs.runs[this->instance].push_back(call->request_id);
     if (behaviour.silent) {
-      this->waiting.emplace(co_await boost::asio::this_coro::executor);
-      this->waiting->expires_at(call->deadline);
+      this->silence_timer.emplace(co_await boost::asio::this_coro::executor);
+      this->silence_timer->expires_at(call->deadline);
       boost::system::error_code error;
-      co_await this->waiting->async_wait(
+      co_await this->silence_timer->async_wait(
           boost::asio::redirect_error(boost::asio::use_awaitable, error));
       this->is_open = false;
       co_return fail(ErrorKind::kDeadlineExceeded, "no answer");
@@ -137,13 +137,13 @@
   }
 
   [[nodiscard]] bool usable() const noexcept override {
-    return this->is_open && this->opened_in == this->leafs.epoch &&
+    return this->is_open && this->opened_epoch == this->leafs.epoch &&
            !this->has_ended();
   }
   void close() noexcept override {
     this->is_open = false;
-    if (this->waiting) {
-      this->waiting->cancel();
+    if (this->silence_timer) {
+      this->silence_timer->cancel();
     }
   }
 
@@ -163,7 +163,7 @@
     return this->leafs.ended.contains(this->instance);
   }
 
-  [[nodiscard]] Behaviour now() const {
+  [[nodiscard]] Behaviour current_behaviour() const {
     const auto found = this->leafs.behaviour.find(this->instance);
     return found == this->leafs.behaviour.end() ? Behaviour{} : found->second;
   }
@@ -171,8 +171,8 @@
   const FakeLeafs& leafs;
   const std::string instance;
   bool is_open = false;
-  std::uint64_t opened_in = 0;
-  std::optional<boost::asio::steady_timer> waiting;
+  std::uint64_t opened_epoch = 0;
+  std::optional<boost::asio::steady_timer> silence_timer;
 };
 
 inline std::unique_ptr<LeafLink> FakeLeafs::make(
--- a/tests/dispatch/leaf_cost_test.cc
+++ b/tests/dispatch/leaf_cost_test.cc
@@ -9,15 +9,15 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kUsual{30};
+constexpr milliseconds kTypical{30};
 constexpr milliseconds kObjective{200};
 
 Duration cost(const LeafState& leaf) {
-  return leaf_cost(leaf, kUsual, kObjective, DispatchSettings{}.remote_cost);
+  return leaf_cost(leaf, kTypical, kObjective, DispatchSettings{}.remote_cost);
 }
 
 Test(leaf_cost, an_idle_leaf_in_the_same_zone_costs_the_typical_latency) {
-  cr_assert(cost({}) == kUsual);
+  cr_assert(cost({}) == kTypical);
 }
 
 // Load pattern: a fleet over four zones, 25% of the slots of each leaf in use,
--- a/tests/dispatch/leaf_estimate_test.cc
+++ b/tests/dispatch/leaf_estimate_test.cc
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kUsual{10};
+constexpr milliseconds kTypical{10};
 
 struct Fixture {
   LeafEstimate estimate;
@@ -19,7 +19,7 @@
   void call(milliseconds took) {
     const auto ticket = this->estimate.sent(this->now);
     this->now += took;
-    this->estimate.answered(ticket, kUsual, this->now);
+    this->estimate.answered(ticket, kTypical, this->now);
   }
 };
 
@@ -71,7 +71,7 @@
 Test(leaf_estimate, one_pause_hardly_changes_the_estimate) {
   Fixture fixture;
   for (int i = 0; i < 20; ++i) {
-    fixture.call(kUsual);
+    fixture.call(kTypical);
   }
   fixture.call(milliseconds(100));
   cr_assert(fixture.estimate.ratio(fixture.now) < 1.7);
@@ -95,7 +95,7 @@
                                               fixture.now + milliseconds(25)));
   cr_assert(fixture.estimate.is_unresponsive(milliseconds(25),
                                              fixture.now + milliseconds(26)));
-  fixture.estimate.answered(ticket, kUsual, fixture.now + milliseconds(27));
+  fixture.estimate.answered(ticket, kTypical, fixture.now + milliseconds(27));
   cr_assert(!fixture.estimate.is_unresponsive(milliseconds(25),
                                               fixture.now + milliseconds(90)));
 }
@@ -104,7 +104,7 @@
   Fixture fixture;
   const auto slow = fixture.estimate.sent(fixture.now);
   fixture.now += milliseconds(20);
-  fixture.call(kUsual);
+  fixture.call(kTypical);
   cr_assert(!fixture.estimate.is_unresponsive(milliseconds(25), fixture.now));
   fixture.estimate.lost(slow, fixture.now);
 }
@@ -121,7 +121,7 @@
 Test(leaf_estimate, peer_reports_are_weighted_with_own_calls) {
   Fixture fixture;
   fixture.estimate.merge_report(
-      {.excess = 4, .samples = 12, .half_life = kUsual}, fixture.now);
+      {.excess = 4, .samples = 12, .half_life = kTypical}, fixture.now);
   cr_assert(fixture.estimate.ratio(fixture.now) == 5);
   for (int i = 0; i < 12; ++i) {
     fixture.call(milliseconds(1));
--- a/tests/dispatch/zone_memory_test.cc
+++ b/tests/dispatch/zone_memory_test.cc
@@ -17,47 +17,48 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr milliseconds kUsual{30};
+constexpr milliseconds kTypical{30};
 constexpr std::size_t kDaemons = 23;
 // Interval between queries of the whole zone; each query calls one of the three
 // leafs of the shard.
-constexpr milliseconds kBetweenQueries{31};
-constexpr milliseconds kRound{500};
+constexpr milliseconds kQueryInterval{31};
+constexpr milliseconds kReportInterval{500};
 // A daemon avoids a leaf from this multiple of the typical latency on.
-constexpr double kAvoidedFrom = 2;
+constexpr double kAvoidanceRatio = 2;
 
 /// The daemons of one zone that call a shard of three leafs, one of which may
 /// be several times slower than the others.
 class Zone {
  public:
-  /// @param share_forgetting Each daemon draws a random half-life for reports.
-  explicit Zone(bool share_forgetting)
-      : estimates(kDaemons), share_forgetting(share_forgetting) {}
+  /// @param randomize_half_life Each daemon draws a random half-life for
+  /// reports.
+  explicit Zone(bool randomize_half_life)
+      : estimates(kDaemons), randomize_half_life(randomize_half_life) {}
 
   /// @return How many queries within `span` call the slow leaf.
-  int run(Duration span, int times_slow) {
-    int met = 0;
+  int run(Duration span, int slowdown) {
+    int slow_calls = 0;
     const TimePoint end = this->now + span;
     while (this->now < end) {
-      this->now += kBetweenQueries;
-      met += this->query(times_slow) ? 1 : 0;
-      if (this->now >= this->next_round) {
-        this->next_round = this->now + kRound;
+      this->now += kQueryInterval;
+      slow_calls += this->query(slowdown) ? 1 : 0;
+      if (this->now >= this->next_report) {
+        this->next_report = this->now + kReportInterval;
         this->report();
       }
     }
-    return met;
+    return slow_calls;
   }
 
  private:
-  bool query(int times_slow) {
+  bool query(int slowdown) {
     LeafEstimate& estimate = this->estimates[this->draw(kDaemons)];
-    const bool avoided = estimate.ratio(this->now) >= kAvoidedFrom;
+    const bool avoided = estimate.ratio(this->now) >= kAvoidanceRatio;
     if (avoided || this->draw(3) != 0) {
       return false;
     }
-    const auto ticket = estimate.sent(this->now - kUsual * times_slow);
-    estimate.answered(ticket, kUsual, this->now);
+    const auto ticket = estimate.sent(this->now - kTypical * slowdown);
+    estimate.answered(ticket, kTypical, this->now);
     return true;
   }
 
@@ -81,9 +82,9 @@
   }
 
   Duration half_life() {
-    constexpr milliseconds kAlone{1250};
-    const int times = this->share_forgetting ? this->draw(kDaemons) : 0;
-    return kAlone * (1 + times);
+    constexpr milliseconds kBaseHalfLife{1250};
+    const int factor = this->randomize_half_life ? this->draw(kDaemons) : 0;
+    return kBaseHalfLife * (1 + factor);
   }
 
   int draw(std::size_t below) {
@@ -93,9 +94,9 @@
 
   std::vector<LeafEstimate> estimates;
   reports::ReportBoard board;
-  const bool share_forgetting;
+  const bool randomize_half_life;
   TimePoint now = Clock::now();
-  TimePoint next_round = this->now + kRound;
+  TimePoint next_report = this->now + kReportInterval;
   pcg32 random{42};
 };
 
@@ -103,21 +104,22 @@
 Test(zone_memory, few_queries_call_a_leaf_that_stays_slow) {
   Zone zone(true);
   zone.run(seconds(2), 8);
-  const int met = zone.run(seconds(20), 8);
-  Zone forgetful(false);
-  forgetful.run(seconds(2), 8);
-  const int met_before = forgetful.run(seconds(20), 8);
-  cr_assert(met <= 20, "%d queries of 20 s", met);
-  cr_assert(met * 2 < met_before, "%d and %d", met, met_before);
+  const int slow_calls = zone.run(seconds(20), 8);
+  Zone fixed_zone(false);
+  fixed_zone.run(seconds(2), 8);
+  const int slow_calls_with_fixed_half_life = fixed_zone.run(seconds(20), 8);
+  cr_assert(slow_calls <= 20, "%d queries of 20 s", slow_calls);
+  cr_assert(slow_calls * 2 < slow_calls_with_fixed_half_life, "%d and %d",
+            slow_calls, slow_calls_with_fixed_half_life);
 }
 
 Test(zone_memory, a_recovered_leaf_is_used_again_by_all_daemons) {
   Zone zone(true);
   zone.run(seconds(8), 8);
   zone.run(seconds(12), 1);
-  const int met = zone.run(seconds(5), 1);
-  const auto even = static_cast<int>(seconds(5) / kBetweenQueries / 3);
-  cr_assert(met > even * 8 / 10, "%d of %d", met, even);
+  const int slow_calls = zone.run(seconds(5), 1);
+  const auto even = static_cast<int>(seconds(5) / kQueryInterval / 3);
+  cr_assert(slow_calls > even * 8 / 10, "%d of %d", slow_calls, even);
 }
 
 }  // namespace
