--- a/ibismux/dispatch/call_queue.h
+++ b/ibismux/dispatch/call_queue.h
@@ -17,9 +17,9 @@
 /// query has enough answers, and a more urgent call can overtake it. A call in
 /// a leaf's own queue is executed in any case.
 ///
-///     const auto place = queue.join(priority, send, Clock::now());
-///     queue.leave(place);      // The caller has disconnected.
-///     queue.offer(room);       // A leaf has capacity.
+///     const auto position = queue.enqueue(priority, send, Clock::now());
+///     queue.remove(position);             // The caller has disconnected.
+///     queue.start_waiting(has_capacity);  // A leaf has capacity.
 ///
 /// Belongs to one event loop; not thread safe.
 class CallQueue {
--- a/ibismux/dispatch/call_window.cc
+++ b/ibismux/dispatch/call_window.cc
@@ -20,10 +20,11 @@
 }  // namespace
 
 void CallWindow::on_answer(Duration took,
-                           Duration unloaded,
+                           Duration unloaded_latency,
                            std::size_t in_flight,
                            TimePoint now) {
-  const double ratio = to_seconds(took) / std::max(to_seconds(unloaded), 1e-6);
+  const double ratio =
+      to_seconds(took) / std::max(to_seconds(unloaded_latency), 1e-6);
   this->average_ratio +=
       (std::min(ratio, kMaxRatio) - this->average_ratio) * kWeight;
   // With a single call in flight from this daemon, the latency is due to calls
--- a/ibismux/dispatch/call_window.h
+++ b/ibismux/dispatch/call_window.h
@@ -32,7 +32,7 @@
   /// @param unloaded Latency of such a call while leafs have no queues.
   /// @param in_flight Calls of this daemon at the leaf, including this one.
   void on_answer(Duration took,
-                 Duration unloaded,
+                 Duration unloaded_latency,
                  std::size_t in_flight,
                  TimePoint now);
 
--- a/ibismux/dispatch/leaf_cost.h
+++ b/ibismux/dispatch/leaf_cost.h
@@ -22,7 +22,7 @@
 /// Estimated cost of a call at a leaf, expressed as time. The leaf with the
 /// lowest cost gets the call. Thread safe.
 ///
-/// @param usual Latency of such a call at the median leaf.
+/// @param typical_latency Latency of such a call at the median leaf.
 /// @param objective Latency objective of the caller.
 /// @param remote_cost See `DispatchSettings`.
 [[nodiscard]] Duration leaf_cost(const LeafState& leaf,
--- a/ibismux/dispatch/leaf_estimate.h
+++ b/ibismux/dispatch/leaf_estimate.h
@@ -32,7 +32,7 @@
   /// @name Calls
   /// @{
   [[nodiscard]] Ticket sent(TimePoint now);
-  /// @param usual Latency of a call of this kind at the median leaf.
+  /// @param typical_latency Latency of a call of this kind at the median leaf.
   void answered(Ticket ticket, Duration typical_latency, TimePoint now);
   /// The leaf answered that the call failed or was rejected.
   void failed(Ticket ticket, TimePoint now);
--- a/ibismux/dispatch/leaf_link.h
+++ b/ibismux/dispatch/leaf_link.h
@@ -29,7 +29,7 @@
 struct LeafReply {
   enum class Kind : unsigned char {
     kSuccess,
-    kFailure,        ///< The leaf failed after it started, or may have started.
+    kFailure,        ///< The leaf failed; it may have executed the request.
     kNotRun,         ///< The leaf hasn't executed the call and won't.
     kOtherInstance,  ///< Another leaf has the address; not executed.
   };
--- a/tests/dispatch/zone_memory_test.cc
+++ b/tests/dispatch/zone_memory_test.cc
@@ -37,17 +37,17 @@
 
   /// @return How many queries within `span` call the slow leaf.
   int run(Duration span, int slowdown) {
-    int slow_calls = 0;
+    int leaf_calls = 0;
     const TimePoint end = this->now + span;
     while (this->now < end) {
       this->now += kQueryInterval;
-      slow_calls += this->query(slowdown) ? 1 : 0;
+      leaf_calls += this->query(slowdown) ? 1 : 0;
       if (this->now >= this->next_report) {
         this->next_report = this->now + kReportInterval;
         this->report();
       }
     }
-    return slow_calls;
+    return leaf_calls;
   }
 
  private:
@@ -104,22 +104,22 @@
 Test(zone_memory, few_queries_call_a_leaf_that_stays_slow) {
   Zone zone(true);
   zone.run(seconds(2), 8);
-  const int slow_calls = zone.run(seconds(20), 8);
+  const int leaf_calls = zone.run(seconds(20), 8);
   Zone fixed_zone(false);
   fixed_zone.run(seconds(2), 8);
-  const int slow_calls_with_fixed_half_life = fixed_zone.run(seconds(20), 8);
-  cr_assert(slow_calls <= 20, "%d queries of 20 s", slow_calls);
-  cr_assert(slow_calls * 2 < slow_calls_with_fixed_half_life, "%d and %d",
-            slow_calls, slow_calls_with_fixed_half_life);
+  const int leaf_calls_with_fixed_half_life = fixed_zone.run(seconds(20), 8);
+  cr_assert(leaf_calls <= 20, "%d queries of 20 s", leaf_calls);
+  cr_assert(leaf_calls * 2 < leaf_calls_with_fixed_half_life, "%d and %d",
+            leaf_calls, leaf_calls_with_fixed_half_life);
 }
 
 Test(zone_memory, a_recovered_leaf_is_used_again_by_all_daemons) {
   Zone zone(true);
   zone.run(seconds(8), 8);
   zone.run(seconds(12), 1);
-  const int slow_calls = zone.run(seconds(5), 1);
+  const int leaf_calls = zone.run(seconds(5), 1);
   const auto even = static_cast<int>(seconds(5) / kQueryInterval / 3);
-  cr_assert(slow_calls > even * 8 / 10, "%d of %d", slow_calls, even);
+  cr_assert(leaf_calls > even * 8 / 10, "%d of %d", leaf_calls, even);
 }
 
 }  // namespace
