--- a/ibismux/dispatch/call_queue.h
+++ b/ibismux/dispatch/call_queue.h
@@ -25,7 +25,7 @@
 class CallQueue {
  public:
   /// Identifies a waiting call. Never reused within one queue.
-  struct Place {
+  struct Position {
     std::uint32_t priority = 0;
     std::uint64_t number = 0;
   };
@@ -38,36 +38,38 @@
   /// with a higher priority number.
   /// @param start Called when there is capacity. If it returns true, the call
   /// is removed from the queue; otherwise the call keeps its position.
-  [[nodiscard]] Place join(std::uint32_t priority, Start start, TimePoint now);
+  [[nodiscard]] Position enqueue(std::uint32_t priority,
+                                 Start start,
+                                 TimePoint now);
 
   /// Removes a call. Does nothing if the call has been started.
-  void leave(const Place& place);
+  void remove(const Position& position);
 
   /// Starts calls in queue order while `has_capacity()` returns true. Each call
   /// is tried once: a call that needs another leaf than the one with capacity
   /// must neither be retried in a loop nor block the calls behind it.
-  void offer(const std::function<bool()>& has_capacity);
+  void start_waiting(const std::function<bool()>& has_capacity);
 
   [[nodiscard]] bool empty() const noexcept { return this->lanes.empty(); }
 
   /// For how long the queue has been non-empty without interruption. A burst
   /// fills the queue only briefly; a queue that stays non-empty means that more
   /// work arrives than the leafs can process.
-  [[nodiscard]] Duration standing(TimePoint now) const noexcept {
+  [[nodiscard]] Duration nonempty_for(TimePoint now) const noexcept {
     return this->lanes.empty() ? Duration::zero() : now - this->nonempty_since;
   }
 
   /// The number of calls that a new call of `priority` would wait behind.
-  [[nodiscard]] std::size_t ahead_of(std::uint32_t priority) const noexcept;
+  [[nodiscard]] std::size_t count_ahead(std::uint32_t priority) const noexcept;
 
  private:
   using Lane = std::map<std::uint64_t, Start>;
 
-  /// The first call after `place`, or the first of all if `place` is absent;
-  /// absent after the last call.
-  [[nodiscard]] std::optional<Place> next_after(
-      const std::optional<Place>& place) const;
-  [[nodiscard]] Start extract(const Place& place);
+  /// The first call after `position`, or the first of all if `position` is
+  /// absent; absent after the last call.
+  [[nodiscard]] std::optional<Position> next_after(
+      const std::optional<Position>& position) const;
+  [[nodiscard]] Start extract(const Position& position);
 
   std::map<std::uint32_t, Lane> lanes;  ///< By priority; no lane is empty.
   TimePoint nonempty_since = TimePoint::min();
--- a/ibismux/dispatch/part_call.cc
+++ b/ibismux/dispatch/part_call.cc
@@ -46,7 +46,7 @@
 }
 
 void PartCall::wait_for_room(std::function<bool()> start) {
-  this->place = this->group->queue().join(
+  this->place = this->group->queue().enqueue(
       this->context->route->priority,
       [weak = this->weak_from_this(), start = std::move(start)] {
         const auto self = weak.lock();
@@ -65,7 +65,7 @@
 
 void PartCall::leave_queue() {
   if (this->place) {
-    this->group->queue().leave(*this->place);
+    this->group->queue().remove(*this->place);
     this->place.reset();
   }
 }
--- a/ibismux/dispatch/part_call.h
+++ b/ibismux/dispatch/part_call.h
@@ -146,7 +146,7 @@
   const std::shared_ptr<ServiceGroup> group;
   const std::function<void()> on_change;
 
-  std::optional<CallQueue::Place> place;  ///< While it waits for a leaf.
+  std::optional<CallQueue::Position> place;  ///< While it waits for a leaf.
   std::function<bool()> held;  ///< Set while it waits for `resume()`.
   State current = State::kIdle;
   bool starting = false;
--- a/ibismux/dispatch/request_run.cc
+++ b/ibismux/dispatch/request_run.cc
@@ -130,7 +130,7 @@
   if (!service.can_serve(zones)) {
     return Duration::max();
   }
-  const bool stands = service.queue().standing(now) > kStandingQueue;
+  const bool stands = service.queue().nonempty_for(now) > kStandingQueue;
   const TimePoint latest = stands ? this->shared->due : this->shared->final_at;
   const Duration work = this->shared->typical->unloaded();
   return service.expected_wait(this->shared->route->priority, zones) -
--- a/ibismux/dispatch/service_group.cc
+++ b/ibismux/dispatch/service_group.cc
@@ -215,7 +215,7 @@
 }
 
 void ServiceGroup::serve_waiting() {
-  this->waiting.offer([this] {
+  this->waiting.start_waiting([this] {
     return std::any_of(this->members.begin(), this->members.end(),
                        [](const auto& leaf) {
                          return leaf->in_service() && leaf->has_room();
@@ -235,7 +235,7 @@
 
 Duration ServiceGroup::expected_wait(std::uint32_t priority,
                                      const ZoneNames* zones) const {
-  const std::size_t ahead = this->waiting.ahead_of(priority);
+  const std::size_t ahead = this->waiting.count_ahead(priority);
   if (ahead == 0) {
     return Duration::zero();
   }
--- a/tests/dispatch/call_queue_test.cc
+++ b/tests/dispatch/call_queue_test.cc
@@ -16,8 +16,8 @@
   int room = 0;
 
   /// Adds a call that uses one unit of capacity when it starts.
-  CallQueue::Place join(std::uint32_t priority, char name) {
-    return this->queue.join(
+  CallQueue::Position enqueue(std::uint32_t priority, char name) {
+    return this->queue.enqueue(
         priority,
         [this, name] {
           this->started += name;
@@ -27,9 +27,9 @@
         this->now);
   }
 
-  void offer(int room) {
+  void start_waiting(int room) {
     this->room = room;
-    this->queue.offer([this] { return this->room > 0; });
+    this->queue.start_waiting([this] { return this->room > 0; });
   }
 };
 
@@ -43,49 +43,49 @@
 
 Test(call_queue, orders_by_priority_and_then_by_arrival) {
   Fixture fixture;
-  fixture.join(2, 'c');
-  fixture.join(1, 'a');
-  fixture.join(2, 'd');
-  fixture.join(1, 'b');
-  fixture.offer(3);
+  fixture.enqueue(2, 'c');
+  fixture.enqueue(1, 'a');
+  fixture.enqueue(2, 'd');
+  fixture.enqueue(1, 'b');
+  fixture.start_waiting(3);
   cr_assert(fixture.started == "abc");
-  fixture.offer(3);
+  fixture.start_waiting(3);
   cr_assert(fixture.started == "abcd");
 }
 
 Test(call_queue, a_removed_call_is_not_started) {
   Fixture fixture;
-  const CallQueue::Place first = fixture.join(1, 'a');
-  fixture.join(1, 'b');
-  fixture.queue.leave(first);
-  fixture.queue.leave(first);
-  fixture.offer(2);
+  const CallQueue::Position first = fixture.enqueue(1, 'a');
+  fixture.enqueue(1, 'b');
+  fixture.queue.remove(first);
+  fixture.queue.remove(first);
+  fixture.start_waiting(2);
   cr_assert(fixture.started == "b");
 }
 
 Test(call_queue, counts_the_calls_ahead) {
   Fixture fixture;
-  fixture.join(1, 'a');
-  fixture.join(2, 'b');
-  fixture.join(3, 'c');
-  cr_assert(fixture.queue.ahead_of(0) == 0);
-  cr_assert(fixture.queue.ahead_of(1) == 1);
-  cr_assert(fixture.queue.ahead_of(2) == 2);
-  cr_assert(fixture.queue.ahead_of(9) == 3);
+  fixture.enqueue(1, 'a');
+  fixture.enqueue(2, 'b');
+  fixture.enqueue(3, 'c');
+  cr_assert(fixture.queue.count_ahead(0) == 0);
+  cr_assert(fixture.queue.count_ahead(1) == 1);
+  cr_assert(fixture.queue.count_ahead(2) == 2);
+  cr_assert(fixture.queue.count_ahead(9) == 3);
 }
 
 Test(call_queue, is_nonempty_from_the_first_call_to_the_last) {
   Fixture fixture;
-  cr_assert(fixture.queue.standing(fixture.now) == Duration::zero());
-  const CallQueue::Place first = fixture.join(1, 'a');
+  cr_assert(fixture.queue.nonempty_for(fixture.now) == Duration::zero());
+  const CallQueue::Position first = fixture.enqueue(1, 'a');
   fixture.now += seconds(1);
-  fixture.join(1, 'b');
-  fixture.queue.leave(first);
-  cr_assert(fixture.queue.standing(fixture.now) == seconds(1));
-  fixture.offer(1);
-  cr_assert(fixture.queue.standing(fixture.now) == Duration::zero());
-  fixture.join(1, 'c');
-  cr_assert(fixture.queue.standing(fixture.now) == Duration::zero());
+  fixture.enqueue(1, 'b');
+  fixture.queue.remove(first);
+  cr_assert(fixture.queue.nonempty_for(fixture.now) == seconds(1));
+  fixture.start_waiting(1);
+  cr_assert(fixture.queue.nonempty_for(fixture.now) == Duration::zero());
+  fixture.enqueue(1, 'c');
+  cr_assert(fixture.queue.nonempty_for(fixture.now) == Duration::zero());
 }
 
 // Guards against an endless loop that offers a call the same leaf.
@@ -93,14 +93,14 @@
      a_call_that_cannot_start_is_tried_once_and_keeps_its_position) {
   Fixture fixture;
   int tries = 0;
-  (void)fixture.queue.join(1, unstartable(tries), fixture.now);
-  fixture.join(1, 'b');
-  fixture.offer(5);
+  (void)fixture.queue.enqueue(1, unstartable(tries), fixture.now);
+  fixture.enqueue(1, 'b');
+  fixture.start_waiting(5);
   cr_assert(tries == 1);
   cr_assert(fixture.started == "b");
-  cr_assert(fixture.queue.ahead_of(1) == 1);
-  fixture.join(1, 'c');
-  fixture.offer(1);
+  cr_assert(fixture.queue.count_ahead(1) == 1);
+  fixture.enqueue(1, 'c');
+  fixture.start_waiting(1);
   cr_assert(tries == 2, "still ahead of later calls");
 }
 
