--- a/ibismux/dispatch/call_window.h
+++ b/ibismux/dispatch/call_window.h
@@ -22,7 +22,7 @@
 class CallWindow {
  public:
   /// The upper bound of the window: the links that the daemon may have.
-  void set_most(std::size_t max) { this->limit.declare(max); }
+  void set_max(std::size_t max) { this->limit.declare(max); }
 
   /// At least 1.
   [[nodiscard]] std::size_t size() const noexcept {
@@ -37,7 +37,7 @@
                  TimePoint now);
 
   /// The leaf rejected a call for lack of capacity.
-  void on_turned_away(TimePoint now) { this->limit.on_overload(now); }
+  void on_rejected(TimePoint now) { this->limit.on_overload(now); }
 
  private:
   static constexpr double kCeiling = 1;
--- a/ibismux/dispatch/leaf.cc
+++ b/ibismux/dispatch/leaf.cc
@@ -73,7 +73,7 @@
 }
 
 void Leaf::grant_links(LinkGrant grant) {
-  this->window.set_most(grant.most);
+  this->window.set_max(grant.max_links);
   this->links.grant(grant);
 }
 
@@ -241,7 +241,7 @@
       this->performance.answered(ticket, spec.usual, now);
       break;
     case LeafReply::Kind::kNotRun:
-      this->window.on_turned_away(now);
+      this->window.on_rejected(now);
       this->performance.failed(ticket, now);
       break;
     case LeafReply::Kind::kFailure:
--- a/ibismux/dispatch/leaf.h
+++ b/ibismux/dispatch/leaf.h
@@ -116,7 +116,7 @@
   }
   [[nodiscard]] bool has_room() const noexcept {
     const TimePoint now = Clock::now();
-    return this->active_count < this->most_calls() &&
+    return this->active_count < this->max_calls() &&
            this->links.has_room(now) && this->cold.allows(now);
   }
   /// Whether the leaf is cold and this daemon may not call it before it is
@@ -128,9 +128,9 @@
   /// it allows one now.
   void announce_when_warmer();
   /// The maximum number of concurrent calls of this daemon; at least 1.
-  [[nodiscard]] std::size_t most_calls() const noexcept {
+  [[nodiscard]] std::size_t max_calls() const noexcept {
     return this->policy.learn_window ? this->window.size()
-                                     : this->links.granted().most;
+                                     : this->links.granted().max_links;
   }
   [[nodiscard]] LeafEstimate& estimate() noexcept { return this->performance; }
   [[nodiscard]] const LeafEstimate& estimate() const noexcept {
@@ -156,8 +156,8 @@
   }
 
   /// Whether a link should be opened before a call needs it.
-  [[nodiscard]] bool wants_link(TimePoint now) {
-    return this->in_service() && this->links.wants_link(now);
+  [[nodiscard]] bool needs_link(TimePoint now) {
+    return this->in_service() && this->links.needs_link(now);
   }
   /// Opens a link and adds it to the idle links. Ejects the leaf if it can't be
   /// dialled, so that no call has to detect that.
--- a/ibismux/dispatch/link_opener.cc
+++ b/ibismux/dispatch/link_opener.cc
@@ -58,7 +58,7 @@
        ++examined) {
     this->last_examined = (this->last_examined + 1) % this->leafs.size();
     const std::shared_ptr<Leaf>& leaf = this->leafs[this->last_examined];
-    if (leaf->wants_link(now)) {
+    if (leaf->needs_link(now)) {
       ++started;
       ++this->dials_in_progress;
       boost::asio::co_spawn(this->loop, open(this->shared_from_this(), leaf),
--- a/ibismux/dispatch/link_plan.cc
+++ b/ibismux/dispatch/link_plan.cc
@@ -69,7 +69,7 @@
       kMinUsefulLinks,
       std::ceil(kLinksPerSlot * static_cast<double>(replica.slots) / hosts));
   const double share = std::min(usable(replica) / hosts, useful);
-  return {.most = std::max<std::size_t>(1, floor_to_size(share)),
+  return {.max_links = std::max<std::size_t>(1, floor_to_size(share)),
           .keep = true,
           .open_ahead = open_ahead};
 }
@@ -127,7 +127,7 @@
       preference_order(replicas, sharers);
   for (std::size_t i = 0; i < preferred.size(); ++i) {
     LinkGrant& grant = grants[preferred[i]];
-    grant.most = kScarceLinks;
+    grant.max_links = kScarceLinks;
     grant.keep = i < kept;
     grant.open_ahead = grant.open_ahead && i < std::min(kept, ahead);
   }
--- a/ibismux/dispatch/link_plan.h
+++ b/ibismux/dispatch/link_plan.h
@@ -37,7 +37,7 @@
 
 /// Links that a daemon may have to one leaf.
 struct LinkGrant {
-  std::size_t most = 1;
+  std::size_t max_links = 1;
   /// Whether idle links stay open. If not, the leaf is used only for calls that
   /// no other leaf can take, and the link is closed after each call.
   bool keep = true;
--- a/ibismux/dispatch/link_pool.cc
+++ b/ibismux/dispatch/link_pool.cc
@@ -41,7 +41,7 @@
   this->idle.clear();
 }
 
-bool LinkPool::wants_link(TimePoint now) {
+bool LinkPool::needs_link(TimePoint now) {
   const std::size_t dropped =
       std::erase_if(this->idle, [&](const IdleLink& idle_link) {
         if (idle_link.link->usable()) {
--- a/ibismux/dispatch/link_pool.h
+++ b/ibismux/dispatch/link_pool.h
@@ -50,8 +50,9 @@
   [[nodiscard]] std::size_t open() const noexcept { return this->open_links; }
   /// Whether an idle link is available or another one may be opened.
   [[nodiscard]] bool has_room(TimePoint now) const noexcept {
-    return this->has_idle() || (this->open_links < this->current_grant.most &&
-                                !this->is_at_connection_limit(now));
+    return this->has_idle() ||
+           (this->open_links < this->current_grant.max_links &&
+            !this->is_at_connection_limit(now));
   }
   /// Whether the leaf is assumed to be at its connection limit.
   [[nodiscard]] bool is_at_connection_limit(TimePoint now) const noexcept {
@@ -59,7 +60,7 @@
   }
   /// Whether a link should be opened ahead of calls: the grant says so and no
   /// link is open. Drops idle links that the leaf has closed.
-  [[nodiscard]] bool wants_link(TimePoint now);
+  [[nodiscard]] bool needs_link(TimePoint now);
   /// @}
 
   /// @name Links
--- a/ibismux/dispatch/service_group.cc
+++ b/ibismux/dispatch/service_group.cc
@@ -241,7 +241,7 @@
   }
   std::size_t at_once = 0;
   for (const auto& leaf : this->members) {
-    at_once += serves(*leaf, zones) ? leaf->most_calls() : 0;
+    at_once += serves(*leaf, zones) ? leaf->max_calls() : 0;
   }
   return this->call_time.value() * (ahead + 1) /
          std::max<std::size_t>(1, at_once);
--- a/tests/dispatch/call_window_test.cc
+++ b/tests/dispatch/call_window_test.cc
@@ -16,13 +16,13 @@
 
 Test(call_window, starts_at_its_maximum) {
   CallWindow window;
-  window.set_most(3);
+  window.set_max(3);
   cr_assert(window.size() == 3);
 }
 
 Test(call_window, one_call_delayed_by_a_pause_changes_nothing) {
   CallWindow window;
-  window.set_most(3);
+  window.set_max(3);
   const TimePoint now = Clock::now();
   window.on_answer(kWork, kWork, 2, now);
   window.on_answer(milliseconds(12), kWork, 2, now);
@@ -31,7 +31,7 @@
 
 Test(call_window, shrinks_at_high_latency_and_grows_again) {
   CallWindow window;
-  window.set_most(3);
+  window.set_max(3);
   TimePoint now = Clock::now();
   for (int i = 0; i < 20; ++i) {
     now += milliseconds(30);
@@ -47,7 +47,7 @@
 
 Test(call_window, a_slow_leaf_with_one_call_at_a_time_keeps_its_window) {
   CallWindow window;
-  window.set_most(3);
+  window.set_max(3);
   TimePoint now = Clock::now();
   for (int i = 0; i < 20; ++i) {
     now += milliseconds(60);
@@ -67,13 +67,13 @@
 
   LoadedLeaf() : daemons(kDaemons) {
     for (Daemon& daemon : this->daemons) {
-      daemon.window.set_most(3);
+      daemon.window.set_max(3);
     }
   }
 
   /// Calls that were rejected and calls that were answered after `from`.
   struct Counts {
-    int turned_away = 0;
+    int rejected = 0;
     int answered = 0;
   };
   Counts run(Duration from, Duration until) {
@@ -105,8 +105,8 @@
     while (daemon.in_flight < daemon.window.size() &&
            this->now >= daemon.pause_until) {
       if (this->working.size() + this->queued.size() >= kSlots + kQueue) {
-        this->counts.turned_away += count ? 1 : 0;
-        daemon.window.on_turned_away(this->now);
+        this->counts.rejected += count ? 1 : 0;
+        daemon.window.on_rejected(this->now);
         // The next call belongs to another request and comes a moment later.
         daemon.pause_until = this->now + kWork;
         return;
@@ -149,7 +149,7 @@
 Test(call_window, daemons_fill_the_slots_of_a_loaded_leaf_but_not_its_queue) {
   LoadedLeaf leaf;
   const LoadedLeaf::Counts counts = leaf.run(seconds(1), seconds(5));
-  cr_assert(counts.turned_away == 0);
+  cr_assert(counts.rejected == 0);
   const auto most = static_cast<int>(LoadedLeaf::kSlots * (seconds(4) / kWork));
   cr_assert(counts.answered > most * 95 / 100);
 }
--- a/tests/dispatch/link_opening_test.cc
+++ b/tests/dispatch/link_opening_test.cc
@@ -146,16 +146,16 @@
   testing::FakeLeafs leafs;
   LinkPool pool(leafs, 1);
   const TimePoint now = Clock::now();
-  cr_assert(!pool.wants_link(now));
-  pool.grant({.most = 2, .keep = true, .open_ahead = true});
-  cr_assert(pool.wants_link(now));
+  cr_assert(!pool.needs_link(now));
+  pool.grant({.max_links = 2, .keep = true, .open_ahead = true});
+  cr_assert(pool.needs_link(now));
   auto dialled = ibismux::testing::run_task(
       loop, pool.dial(one_leaf(), now + DispatchFixture::kLimit));
-  cr_assert(!pool.wants_link(now));
+  cr_assert(!pool.needs_link(now));
   pool.give_back(std::move(dialled->link), false);
-  cr_assert(pool.has_idle() && !pool.wants_link(now));
+  cr_assert(pool.has_idle() && !pool.needs_link(now));
   pool.set_closed(true);
-  cr_assert(!pool.has_idle() && !pool.wants_link(now));
+  cr_assert(!pool.has_idle() && !pool.needs_link(now));
 }
 
 Test(link_pool, a_link_is_new_until_it_has_carried_a_call) {
@@ -177,12 +177,12 @@
 Test(link_pool, a_leaf_at_its_limit_is_not_dialled) {
   testing::FakeLeafs leafs;
   LinkPool pool(leafs, 1);
-  pool.grant({.most = 2, .keep = true, .open_ahead = true});
+  pool.grant({.max_links = 2, .keep = true, .open_ahead = true});
   const TimePoint now = Clock::now();
   const Duration pause = pool.note_connection_limit(now);
   cr_assert(pause > Duration::zero());
-  cr_assert(!pool.wants_link(now) && !pool.has_room(now));
-  cr_assert(pool.wants_link(now + pause) && pool.has_room(now + pause));
+  cr_assert(!pool.needs_link(now) && !pool.has_room(now));
+  cr_assert(pool.needs_link(now + pause) && pool.has_room(now + pause));
 }
 
 }  // namespace
--- a/tests/dispatch/link_plan_test.cc
+++ b/tests/dispatch/link_plan_test.cc
@@ -45,7 +45,7 @@
   return std::accumulate(all.begin(), all.end(), std::size_t{0},
                          [&](std::size_t sum, const auto& grants) {
                            const LinkGrant& grant = grants[replica];
-                           return sum + (grant.keep ? grant.most : 0);
+                           return sum + (grant.keep ? grant.max_links : 0);
                          });
 }
 
@@ -57,7 +57,7 @@
       cr_assert(kept_at(all, replica) <= 26);
     }
     for (const auto& grants : all) {
-      cr_assert(grants[0].most >= 2);
+      cr_assert(grants[0].max_links >= 2);
     }
   }
 }
@@ -66,13 +66,13 @@
 Test(link_plan, links_are_limited_to_little_more_than_a_leaf_executes) {
   const auto all = grants_of_all(three(40, 5), 6, 3);
   for (const auto& grants : all) {
-    cr_assert(grants[0].most == 3);
+    cr_assert(grants[0].max_links == 3);
   }
 }
 
 Test(link_plan, few_daemons_may_use_all_slots_of_a_leaf) {
   const auto all = grants_of_all(three(400, 16), 2, 2);
-  cr_assert(all[0][0].most == 16);
+  cr_assert(all[0][0].max_links == 16);
 }
 
 // Large sites: 70 to 78 connections per leaf, 77 and 91 daemons.
@@ -90,7 +90,7 @@
       std::size_t kept = 0;
       for (const LinkGrant& grant : grants) {
         kept += grant.keep ? 1 : 0;
-        cr_assert(grant.most == 1);
+        cr_assert(grant.max_links == 1);
       }
       cr_assert(kept == 2);
     }
@@ -142,7 +142,7 @@
 }
 
 Test(link_plan, one_link_is_allowed_if_the_limit_is_unknown) {
-  cr_assert(plan_links({{zone(0), 0, 4}}, {}).front().most == 1);
+  cr_assert(plan_links({{zone(0), 0, 4}}, {}).front().max_links == 1);
   cr_assert(plan_links({}, {}).empty());
 }
 
@@ -150,7 +150,7 @@
   LinkSharers sharers;
   sharers.hosts = 40;
   for (const LinkGrant& grant : plan_links(three(26, 2), sharers)) {
-    cr_assert(grant.keep && grant.most == 1);
+    cr_assert(grant.keep && grant.max_links == 1);
   }
 }
 
--- a/tests/dispatch/own_zone_test.cc
+++ b/tests/dispatch/own_zone_test.cc
@@ -41,7 +41,7 @@
       entry.slots = 2;
       auto leaf = std::make_shared<Leaf>(this->loop, this->leafs, this->log,
                                          this->settings.policy, entry, [] {});
-      leaf->grant_links({.most = 3, .keep = true});
+      leaf->grant_links({.max_links = 3, .keep = true});
       this->group.add(std::move(leaf));
     }
     this->answer(this->here(), 1.6);
