--- a/ibismux/dispatch/cold_limit.cc
+++ b/ibismux/dispatch/cold_limit.cc
@@ -32,7 +32,7 @@
          (this->share.calls > 0 && now >= this->free_at());
 }
 
-TimePoint ColdLimit::next(TimePoint now) const noexcept {
+TimePoint ColdLimit::next_allowed(TimePoint now) const noexcept {
   if (this->allows(now)) {
     return now;
   }
--- a/ibismux/dispatch/cold_limit.h
+++ b/ibismux/dispatch/cold_limit.h
@@ -43,10 +43,10 @@
   void set_share(ColdShare share) noexcept { this->share = share; }
 
   /// The leaf reports that it is cold until `until`.
-  void set_told(TimePoint until) noexcept { this->reported_until = until; }
+  void set_reported(TimePoint until) noexcept { this->reported_until = until; }
 
   /// The leaf counts as cold until `until`, whatever it has reported.
-  void assume(TimePoint until) noexcept { this->assumed_until = until; }
+  void assume_cold(TimePoint until) noexcept { this->assumed_until = until; }
 
   /// Whether a call may start now.
   [[nodiscard]] bool allows(TimePoint now) const noexcept;
@@ -57,7 +57,7 @@
   }
 
   /// The earliest time at which the next call may start; at least `now`.
-  [[nodiscard]] TimePoint next(TimePoint now) const noexcept;
+  [[nodiscard]] TimePoint next_allowed(TimePoint now) const noexcept;
 
   /// Records the start of a call. Precondition: `allows(now)`.
   void on_call(TimePoint now);
--- a/ibismux/dispatch/leaf.cc
+++ b/ibismux/dispatch/leaf.cc
@@ -48,12 +48,12 @@
       on_free(std::move(on_free)),
       links(connector, std::hash<std::string>()(this->current_entry.run.id)),
       cold_timer(loop.get_executor()) {
-  this->cold.set_told(Clock::now() + this->current_entry.warmup_left);
+  this->cold.set_reported(Clock::now() + this->current_entry.warmup_left);
 }
 
 void Leaf::update(const directory::LeafEntry& entry) {
   this->current_entry = entry;
-  this->cold.set_told(Clock::now() + entry.warmup_left);
+  this->cold.set_reported(Clock::now() + entry.warmup_left);
 }
 
 void Leaf::set_warmup(Duration time, ColdShare share) {
@@ -61,13 +61,13 @@
   this->cold.set_share(share);
 }
 
-void Leaf::announce_when_warmer() {
+void Leaf::notify_when_allowed() {
   const TimePoint now = Clock::now();
-  const TimePoint next = this->cold.next(now);
-  if (next <= now || this->retired) {
+  const TimePoint next_allowed = this->cold.next_allowed(now);
+  if (next_allowed <= now || this->retired) {
     return;
   }
-  this->cold_timer.expires_at(next);
+  this->cold_timer.expires_at(next_allowed);
   http::await_timer(this->cold_timer, this->weak_from_this(),
                     &Leaf::notify_free);
 }
@@ -100,7 +100,7 @@
   if (!evacuated) {
     // Leafs may have become cold while they got no calls, and the entries that
     // report it may not have arrived yet.
-    this->cold.assume(Clock::now() + this->warmup);
+    this->cold.assume_cold(Clock::now() + this->warmup);
   }
 }
 
@@ -108,7 +108,7 @@
   if (this->ejected) {
     return remaining(this->retry_at, now);
   }
-  return this->cold.is_closed(now) ? this->cold.next(now) - now
+  return this->cold.is_closed(now) ? this->cold.next_allowed(now) - now
                                    : Duration::zero();
 }
 
@@ -355,7 +355,7 @@
   this->ejected = false;
   if (std::exchange(this->was_unreachable, false)) {
     // The leaf accepts connections before the entry of its new run arrives.
-    this->cold.assume(Clock::now() + this->warmup);
+    this->cold.assume_cold(Clock::now() + this->warmup);
   }
   this->log.event(eventlog::Weight::kBelief, "leaf_back")
       .with("leaf", this->current_entry.run.id)
--- a/ibismux/dispatch/leaf.h
+++ b/ibismux/dispatch/leaf.h
@@ -126,7 +126,7 @@
   }
   /// Calls `on_free` once the cold limit allows the next call. Does nothing if
   /// it allows one now.
-  void announce_when_warmer();
+  void notify_when_allowed();
   /// The maximum number of concurrent calls of this daemon; at least 1.
   [[nodiscard]] std::size_t max_calls() const noexcept {
     return this->policy.learn_window ? this->window.size()
@@ -219,7 +219,7 @@
   bool run_ended = false;  ///< The leaf's entry names a later run.
   ColdLimit cold;
   Duration warmup{0};
-  http::Timer cold_timer;  ///< For `announce_when_warmer()`.
+  http::Timer cold_timer;  ///< For `notify_when_allowed()`.
   bool ejected = false;
   /// A connection attempt has failed since the leaf was last reinstated: its
   /// process may have been restarted.
--- a/ibismux/dispatch/service_group.cc
+++ b/ibismux/dispatch/service_group.cc
@@ -229,7 +229,7 @@
     return;
   }
   for (const auto& leaf : this->members) {
-    leaf->announce_when_warmer();
+    leaf->notify_when_allowed();
   }
 }
 
--- a/tests/dispatch/cold_limit_test.cc
+++ b/tests/dispatch/cold_limit_test.cc
@@ -28,7 +28,7 @@
       sharers.rank = rank;
       this->limits.emplace_back();
       this->limits.back().set_share(cold_share(rate, sharers, kLeaf));
-      this->limits.back().set_told(this->now + std::chrono::hours(1));
+      this->limits.back().set_reported(this->now + std::chrono::hours(1));
     }
   }
 
@@ -106,7 +106,7 @@
   warm.set_share({0, milliseconds(1200)});
   cr_assert(warm.allows(now));
   ColdLimit unlimited;
-  unlimited.set_told(now + std::chrono::seconds(3));
+  unlimited.set_reported(now + std::chrono::seconds(3));
   for (int i = 0; i < 100; ++i) {
     cr_assert(unlimited.allows(now));
     unlimited.on_call(now);
@@ -117,14 +117,14 @@
   const TimePoint now = Clock::now();
   ColdLimit limit;
   limit.set_share({1, milliseconds(1200)});
-  limit.set_told(now + std::chrono::seconds(3));
+  limit.set_reported(now + std::chrono::seconds(3));
   limit.on_call(now);
   cr_assert(!limit.allows(now + milliseconds(1199)));
-  cr_assert(limit.next(now) == now + milliseconds(1200));
+  cr_assert(limit.next_allowed(now) == now + milliseconds(1200));
   cr_assert(limit.allows(now + milliseconds(1200)));
   limit.set_share({0, milliseconds(1200)});
   cr_assert(limit.is_closed(now));
-  cr_assert(limit.next(now) == now + std::chrono::seconds(3));
+  cr_assert(limit.next_allowed(now) == now + std::chrono::seconds(3));
 }
 
 /// A fixture whose cold leafs tolerate `rate` requests per second.
@@ -144,7 +144,7 @@
     this->dispatcher.set_fleet(fleet);
   }
 
-  void tell_cold(int leaf, std::chrono::milliseconds left) {
+  void report_cold(int leaf, std::chrono::milliseconds left) {
     directory::LeafEntry entry;
     entry.run.id = "desk-" + std::to_string(leaf);
     entry.service = "desk";
@@ -174,7 +174,7 @@
   ColdFixture fixture(6);
   cr_assert(fixture.run_pages(10) == 10);
   cr_assert(fixture.runs_at(0) == 10);
-  fixture.tell_cold(0, std::chrono::seconds(60));
+  fixture.report_cold(0, std::chrono::seconds(60));
   cr_assert(fixture.run_pages(20) == 20);
   cr_assert(fixture.runs_at(0) == 12, "%zu", fixture.runs_at(0));
 }
@@ -190,7 +190,7 @@
 Test(cold_leafs, with_all_leafs_cold_calls_wait_for_their_share) {
   ColdFixture fixture(3);
   for (int leaf = 0; leaf < 3; ++leaf) {
-    fixture.tell_cold(leaf, std::chrono::seconds(60));
+    fixture.report_cold(leaf, std::chrono::seconds(60));
   }
   cr_assert(fixture.run_pages(4) == 4);
 }
@@ -204,7 +204,7 @@
   for (fleet.rank = 0; fleet.rank < 300; ++fleet.rank) {
     fixture.dispatcher.set_fleet(fleet);
     for (int leaf = 0; leaf < 3; ++leaf) {
-      fixture.tell_cold(leaf, std::chrono::milliseconds(60'000 - fleet.rank));
+      fixture.report_cold(leaf, std::chrono::milliseconds(60'000 - fleet.rank));
     }
     const Outcome& outcome =
         fixture.run("c" + std::to_string(fleet.rank), "/page/");
