--- a/ibismux/dispatch/leaf.cc
+++ b/ibismux/dispatch/leaf.cc
@@ -138,7 +138,7 @@
     co_return CallEnd{tl::unexpected(std::move(acquired.error())), false};
   }
   std::unique_ptr<LeafLink> link = std::move(acquired->link);
-  if (spec.active->given_up) {
+  if (spec.active->cancelled) {
     self->links.give_back(std::move(link), false);
     co_return CallEnd{
         fail(ErrorKind::kCancelled, "given up before it was sent"), false};
@@ -156,7 +156,7 @@
   CallEnd end{std::move(reply), sent};
   self->record_end(end, ticket, spec, acquired->is_new, Clock::now());
   self->links.give_back(std::move(link), true);
-  const bool is_lost = !end.reply && sent && !spec.active->given_up &&
+  const bool is_lost = !end.reply && sent && !spec.active->cancelled &&
                        end.reply.error().kind == ErrorKind::kLeafUnavailable;
   if (is_lost && spec.crashes && spec.crashes->asks_for_cause()) {
     const bool ended = co_await process_has_ended(self);
@@ -221,7 +221,7 @@
                       bool first_use,
                       TimePoint now) {
   if (!end.reply) {
-    if (first_use && !spec.active->given_up &&
+    if (first_use && !spec.active->cancelled &&
         end.reply.error().kind == ErrorKind::kLeafUnavailable) {
       this->record_connection_limit(now);
     }
@@ -269,7 +269,7 @@
   // attempts of callers have little time left, and would otherwise get healthy
   // leafs ejected.
   const bool ended_early =
-      spec.active->given_up || error.kind == ErrorKind::kDeadlineExceeded;
+      spec.active->cancelled || error.kind == ErrorKind::kDeadlineExceeded;
   if (ended_early && waited < spec.usual * kMinWaitRatio) {
     this->performance.answered(ticket, spec.usual, *ticket + spec.usual);
     return;
@@ -297,7 +297,7 @@
   this->log.event(eventlog::Weight::kBelief, "leaf_unresponsive")
       .with("leaf", this->current_entry.run.id)
       .with("service", this->current_entry.service)
-      .with("under_way", this->performance.under_way())
+      .with("under_way", this->performance.in_flight())
       .with("ratio", this->performance.ratio(now));
   std::vector<std::function<void()>> notified;
   for (auto& [number, call] : this->in_flight) {
--- a/ibismux/dispatch/leaf.h
+++ b/ibismux/dispatch/leaf.h
@@ -30,12 +30,12 @@
   LeafLink* link = nullptr;  ///< Set while the link carries the call.
   /// When the call was sent; absent while its link is being dialled.
   std::optional<TimePoint> sent_at;
-  bool given_up = false;
+  bool cancelled = false;
 
   /// Cancels the call immediately by closing its link; the leaf then drops the
   /// work.
-  void give_up() noexcept {
-    this->given_up = true;
+  void cancel() noexcept {
+    this->cancelled = true;
     if (this->link) {
       this->link->close();
     }
@@ -137,7 +137,9 @@
     return this->performance;
   }
   /// Calls of this daemon that are in flight or wait for their link.
-  [[nodiscard]] std::size_t busy() const noexcept { return this->active_count; }
+  [[nodiscard]] std::size_t active_calls() const noexcept {
+    return this->active_count;
+  }
   /// Time until an ejected leaf is probed again, or until a leaf that may not
   /// be called while it is cold is warm; zero if neither applies.
   [[nodiscard]] Duration until_retry(TimePoint now) const noexcept;
--- a/ibismux/dispatch/leaf_cost.cc
+++ b/ibismux/dispatch/leaf_cost.cc
@@ -28,7 +28,7 @@
                    double remote_cost) noexcept {
   const double slots =
       static_cast<double>(std::max<std::size_t>(1, leaf.slots));
-  const double load = 1 + static_cast<double>(leaf.busy) / slots;
+  const double load = 1 + static_cast<double>(leaf.active_calls) / slots;
   Duration cost =
       scaled(typical_latency, leaf.ratio * (leaf.cold ? kColdRatio : 1) * load);
   cost += scaled(objective, leaf.failure_share * kFailureCost);
--- a/ibismux/dispatch/leaf_cost.h
+++ b/ibismux/dispatch/leaf_cost.h
@@ -9,13 +9,13 @@
 
 /// State of a leaf that load balancing takes into account.
 struct LeafState {
-  double ratio = 1;          ///< Latency relative to the typical latency.
-  double failure_share = 0;  ///< Of recent calls; 0 to 1.
-  std::size_t busy = 0;      ///< Calls of this daemon at the leaf.
-  std::size_t slots = 1;     ///< Calls that the leaf executes at once.
-  bool cold = false;         ///< The leaf is still warming up.
-  bool remote = false;       ///< In another zone than this daemon.
-  bool keeps_links = true;   ///< This daemon keeps idle links to it.
+  double ratio = 1;              ///< Latency relative to the typical latency.
+  double failure_share = 0;      ///< Of recent calls; 0 to 1.
+  std::size_t active_calls = 0;  ///< Calls of this daemon at the leaf.
+  std::size_t slots = 1;         ///< Calls that the leaf executes at once.
+  bool cold = false;             ///< The leaf is still warming up.
+  bool remote = false;           ///< In another zone than this daemon.
+  bool keeps_links = true;       ///< This daemon keeps idle links to it.
   bool has_idle_link = true;
 };
 
--- a/ibismux/dispatch/leaf_estimate.h
+++ b/ibismux/dispatch/leaf_estimate.h
@@ -79,7 +79,7 @@
   /// Share of recent calls that failed, 0 to 1; decays with time as well.
   [[nodiscard]] double failure_share(TimePoint now) const noexcept;
 
-  [[nodiscard]] std::size_t under_way() const noexcept {
+  [[nodiscard]] std::size_t in_flight() const noexcept {
     return this->send_times.size();
   }
 
--- a/ibismux/dispatch/part_call.cc
+++ b/ibismux/dispatch/part_call.cc
@@ -325,7 +325,7 @@
   this->abandoned = true;
   const auto late = this->active;
   for (const Attempt& attempt : late) {
-    attempt.active->give_up();
+    attempt.active->cancel();
   }
 }
 
--- a/ibismux/dispatch/service_group.cc
+++ b/ibismux/dispatch/service_group.cc
@@ -104,7 +104,7 @@
   const LeafState state{
       .ratio = leaf.estimate().ratio(now),
       .failure_share = leaf.estimate().failure_share(now),
-      .busy = leaf.busy(),
+      .active_calls = leaf.active_calls(),
       .slots = entry.slots,
       .cold = policy.weigh_cold && entry.warmup_left.count() > 0,
       .remote = policy.prefer_own_zone && !this->is_own_zone(leaf),
@@ -168,7 +168,7 @@
 bool ServiceGroup::is_at_ease(const Leaf& leaf,
                               const SelectionCriteria& criteria,
                               TimePoint now) const {
-  return leaf.busy() < leaf.entry().slots && leaf.keeps_links() &&
+  return leaf.active_calls() < leaf.entry().slots && leaf.keeps_links() &&
          leaf.estimate().ratio(now) <= kEaseRatio &&
          leaf.estimate().failure_share(now) <= kEaseFailures &&
          !this->is_unresponsive(leaf, criteria, now);
--- a/tests/dispatch/leaf_cost_test.cc
+++ b/tests/dispatch/leaf_cost_test.cc
@@ -23,7 +23,7 @@
 // Load pattern: a fleet over four zones, 25% of the slots of each leaf in use,
 // varying latencies.
 Test(leaf_cost, a_leaf_under_normal_load_keeps_the_calls_of_its_zone) {
-  const LeafState own{.ratio = 1.4, .busy = 1, .slots = 4};
+  const LeafState own{.ratio = 1.4, .active_calls = 1, .slots = 4};
   cr_assert(cost(own) < cost({.remote = true}));
 }
 
@@ -33,7 +33,7 @@
 }
 
 Test(leaf_cost, a_fully_loaded_leaf_loses_the_calls_of_its_zone) {
-  const LeafState own{.ratio = 1.3, .busy = 3, .slots = 4};
+  const LeafState own{.ratio = 1.3, .active_calls = 3, .slots = 4};
   cr_assert(cost(own) > cost({.remote = true}));
 }
 
@@ -43,7 +43,7 @@
 
 Test(leaf_cost, a_leaf_without_links_is_a_last_resort) {
   cr_assert(cost({.keeps_links = false, .has_idle_link = false}) >
-            cost({.busy = 1, .slots = 2}));
+            cost({.active_calls = 1, .slots = 2}));
 }
 
 }  // namespace
