--- a/ibismux/dispatch/dispatcher_reports.cc
+++ b/ibismux/dispatch/dispatcher_reports.cc
@@ -25,7 +25,8 @@
   }
   const TimePoint now = Clock::now();
   for (const auto& [id, leaf] : this->leafs) {
-    const LeafEstimate::Seen seen = leaf->estimate().take_seen();
+    const LeafEstimate::Observations seen =
+        leaf->estimate().take_observations();
     if (seen.samples == 0) {
       continue;
     }
--- a/ibismux/dispatch/leaf.cc
+++ b/ibismux/dispatch/leaf.cc
@@ -238,7 +238,7 @@
     case LeafReply::Kind::kSuccess:
       this->window.on_answer(now - *ticket, spec.unloaded, this->active_count,
                              now);
-      this->performance.answered(ticket, spec.usual, now);
+      this->performance.answered(ticket, spec.typical_latency, now);
       break;
     case LeafReply::Kind::kNotRun:
       this->window.on_rejected(now);
@@ -270,8 +270,9 @@
   // leafs ejected.
   const bool ended_early =
       spec.active->cancelled || error.kind == ErrorKind::kDeadlineExceeded;
-  if (ended_early && waited < spec.usual * kMinWaitRatio) {
-    this->performance.answered(ticket, spec.usual, *ticket + spec.usual);
+  if (ended_early && waited < spec.typical_latency * kMinWaitRatio) {
+    this->performance.answered(ticket, spec.typical_latency,
+                               *ticket + spec.typical_latency);
     return;
   }
   this->performance.lost(ticket, now);
--- a/ibismux/dispatch/leaf.h
+++ b/ibismux/dispatch/leaf.h
@@ -61,8 +61,8 @@
   struct CallSpec {
     std::shared_ptr<const LeafCall> call;
     std::shared_ptr<ActiveCall> active;
-    Duration usual;     ///< Latency of such a call at the median leaf.
-    Duration unloaded;  ///< The same without queueing at the leafs.
+    Duration typical_latency;  ///< Latency of such a call at the median leaf.
+    Duration unloaded;         ///< The same without queueing at the leafs.
     /// Called at most once, if the leaf is found unresponsive while the call
     /// waits for its answer.
     std::function<void()> on_unresponsive;
--- a/ibismux/dispatch/leaf_cost.cc
+++ b/ibismux/dispatch/leaf_cost.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Duration leaf_cost(const LeafState& leaf,
+Duration leaf_cost(const LeafCostFactors& leaf,
                    Duration typical_latency,
                    Duration objective,
                    double remote_cost) noexcept {
--- a/ibismux/dispatch/leaf_cost.h
+++ b/ibismux/dispatch/leaf_cost.h
@@ -8,7 +8,7 @@
 namespace ibismux::dispatch {
 
 /// State of a leaf that load balancing takes into account.
-struct LeafState {
+struct LeafCostFactors {
   double ratio = 1;              ///< Latency relative to the typical latency.
   double failure_share = 0;      ///< Of recent calls; 0 to 1.
   std::size_t active_calls = 0;  ///< Calls of this daemon at the leaf.
@@ -25,7 +25,7 @@
 /// @param typical_latency Latency of such a call at the median leaf.
 /// @param objective Latency objective of the caller.
 /// @param remote_cost See `DispatchSettings`.
-[[nodiscard]] Duration leaf_cost(const LeafState& leaf,
+[[nodiscard]] Duration leaf_cost(const LeafCostFactors& leaf,
                                  Duration typical_latency,
                                  Duration objective,
                                  double remote_cost) noexcept;
--- a/ibismux/dispatch/leaf_estimate.cc
+++ b/ibismux/dispatch/leaf_estimate.cc
@@ -117,9 +117,9 @@
   this->failures = this->failures * kept + failure * kWeight;
   this->own_samples = this->own_samples * kept + 1;
   this->updated = now;
-  this->seen.samples += 1;
-  this->seen.excess += ratio - 1;
-  this->seen.failures += failure;
+  this->observations.samples += 1;
+  this->observations.excess += ratio - 1;
+  this->observations.failures += failure;
 }
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/leaf_estimate.h
+++ b/ibismux/dispatch/leaf_estimate.h
@@ -53,15 +53,16 @@
   };
   void merge_report(const PeerReport& report, TimePoint now);
 
-  /// Observations of this daemon since the last `take_seen()`: the number of
-  /// calls, and the sums of their ratios above 1 and of their failures.
-  struct Seen {
+  /// Observations of this daemon since the last `take_observations()`: the
+  /// number of calls, and the sums of their ratios above 1 and of their
+  /// failures.
+  struct Observations {
     double samples = 0;
     double excess = 0;
     double failures = 0;
   };
-  [[nodiscard]] Seen take_seen() noexcept {
-    return std::exchange(this->seen, {});
+  [[nodiscard]] Observations take_observations() noexcept {
+    return std::exchange(this->observations, {});
   }
   /// Whether peers report that the leaf is slow or failing.
   [[nodiscard]] bool has_peer_report(TimePoint now) const noexcept;
@@ -127,7 +128,7 @@
   PeerReport peer_report;
   TimePoint peer_report_at = TimePoint::min();
 
-  Seen seen;
+  Observations observations;
 };
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/part_call.cc
+++ b/ibismux/dispatch/part_call.cc
@@ -171,7 +171,7 @@
   leaf->start(
       {.call = std::move(call),
        .active = active,
-       .usual = this->context->typical->value(),
+       .typical_latency = this->context->typical->value(),
        .unloaded = this->context->typical->unloaded(),
        .on_unresponsive =
            [weak] {
--- a/ibismux/dispatch/service_group.cc
+++ b/ibismux/dispatch/service_group.cc
@@ -101,7 +101,7 @@
                             TimePoint now) const {
   const directory::LeafEntry& entry = leaf.entry();
   const DispatchPolicy& policy = this->settings.policy;
-  const LeafState state{
+  const LeafCostFactors state{
       .ratio = leaf.estimate().ratio(now),
       .failure_share = leaf.estimate().failure_share(now),
       .active_calls = leaf.active_calls(),
--- a/tests/dispatch/leaf_cost_test.cc
+++ b/tests/dispatch/leaf_cost_test.cc
@@ -12,7 +12,7 @@
 constexpr milliseconds kTypical{30};
 constexpr milliseconds kObjective{200};
 
-Duration cost(const LeafState& leaf) {
+Duration cost(const LeafCostFactors& leaf) {
   return leaf_cost(leaf, kTypical, kObjective, DispatchSettings{}.remote_cost);
 }
 
@@ -23,17 +23,17 @@
 // Load pattern: a fleet over four zones, 25% of the slots of each leaf in use,
 // varying latencies.
 Test(leaf_cost, a_leaf_under_normal_load_keeps_the_calls_of_its_zone) {
-  const LeafState own{.ratio = 1.4, .active_calls = 1, .slots = 4};
+  const LeafCostFactors own{.ratio = 1.4, .active_calls = 1, .slots = 4};
   cr_assert(cost(own) < cost({.remote = true}));
 }
 
 Test(leaf_cost, a_slow_leaf_loses_the_calls_of_its_zone) {
-  const LeafState own{.ratio = 2.5};
+  const LeafCostFactors own{.ratio = 2.5};
   cr_assert(cost(own) > cost({.remote = true}));
 }
 
 Test(leaf_cost, a_fully_loaded_leaf_loses_the_calls_of_its_zone) {
-  const LeafState own{.ratio = 1.3, .active_calls = 3, .slots = 4};
+  const LeafCostFactors own{.ratio = 1.3, .active_calls = 3, .slots = 4};
   cr_assert(cost(own) > cost({.remote = true}));
 }
 
--- a/tests/dispatch/leaf_estimate_test.cc
+++ b/tests/dispatch/leaf_estimate_test.cc
@@ -148,9 +148,9 @@
 Test(leaf_estimate, observations_are_returned_once) {
   Fixture fixture;
   fixture.call(milliseconds(30));
-  const auto seen = fixture.estimate.take_seen();
+  const auto seen = fixture.estimate.take_observations();
   cr_assert(seen.samples == 1 && seen.excess > 1.9 && seen.failures == 0);
-  cr_assert(fixture.estimate.take_seen().samples == 0);
+  cr_assert(fixture.estimate.take_observations().samples == 0);
 }
 
 }  // namespace
--- a/tests/dispatch/own_zone_test.cc
+++ b/tests/dispatch/own_zone_test.cc
@@ -68,7 +68,7 @@
     this->calls.push_back(std::make_shared<ActiveCall>());
     this->here().start({.call = std::move(call),
                         .active = this->calls.back(),
-                        .usual = kUsual,
+                        .typical_latency = kUsual,
                         .unloaded = kUsual,
                         .on_unresponsive = [] {},
                         .on_end = [](const CallEnd&) {}});
--- a/tests/dispatch/zone_memory_test.cc
+++ b/tests/dispatch/zone_memory_test.cc
@@ -64,7 +64,7 @@
 
   void report() {
     for (LeafEstimate& estimate : this->estimates) {
-      const auto seen = estimate.take_seen();
+      const auto seen = estimate.take_observations();
       if (seen.samples > 0) {
         this->board.take(
             {{"leaf"}, seen.samples, seen.excess / seen.samples, 0}, this->now);
