--- a/tests/dispatch/dispatch_fixture.h
+++ b/tests/dispatch/dispatch_fixture.h
@@ -56,7 +56,7 @@
 
   /// Leafs whose process ended are back, as new runs under their ids.
   void restart_ended_leafs() {
-    for (const std::string& id : this->leafs.revive()) {
+    for (const std::string& id : this->leafs.restart_ended()) {
       directory::LeafEntry& entry = this->entries.at(id);
       ++entry.run.started;
       this->dispatcher.on_leaf(entry);
--- a/tests/dispatch/fake_leafs.h
+++ b/tests/dispatch/fake_leafs.h
@@ -55,10 +55,10 @@
       const directory::LeafEntry& entry) const override;
 
   /// A call with this target crashes the leaf that executes it: all connections
-  /// to the leaf close, and it refuses new ones until `revive()`.
+  /// to the leaf close, and it refuses new ones until `restart_ended()`.
   std::string crashing_target;
   /// Restarts the leafs that have ended. @return Their ids.
-  std::set<std::string> revive() noexcept {
+  std::set<std::string> restart_ended() noexcept {
     return std::exchange(this->ended, {});
   }
   /// Ends all leafs that have run a request, independently of any request.
--- a/tests/dispatch/zone_memory_test.cc
+++ b/tests/dispatch/zone_reports_test.cc
@@ -101,7 +101,7 @@
 };
 
 // Guards against all daemons of a zone forgetting a slow leaf at the same time.
-Test(zone_memory, few_queries_call_a_leaf_that_stays_slow) {
+Test(zone_reports, few_queries_call_a_leaf_that_stays_slow) {
   Zone zone(true);
   zone.run(seconds(2), 8);
   const int leaf_calls = zone.run(seconds(20), 8);
@@ -113,7 +113,7 @@
             leaf_calls, leaf_calls_with_fixed_half_life);
 }
 
-Test(zone_memory, a_recovered_leaf_is_used_again_by_all_daemons) {
+Test(zone_reports, a_recovered_leaf_is_used_again_by_all_daemons) {
   Zone zone(true);
   zone.run(seconds(8), 8);
   zone.run(seconds(12), 1);
