--- a/ibismux/dispatch/part_call.cc
+++ b/ibismux/dispatch/part_call.cc
@@ -46,7 +46,7 @@
 }
 
 void PartCall::wait_for_room(std::function<bool()> start) {
-  this->place = this->group->queue().join(
+  this->place = this->group->queue().enqueue(
       this->context->route->priority,
       [weak = this->weak_from_this(), start = std::move(start)] {
         const auto self = weak.lock();
@@ -65,7 +65,7 @@
 
 void PartCall::leave_queue() {
   if (this->place) {
-    this->group->queue().leave(*this->place);
+    this->group->queue().remove(*this->place);
     this->place.reset();
   }
 }
@@ -172,7 +172,7 @@
   leaf->start(
       {.call = std::move(call),
        .active = active,
-       .usual = this->context->typical->value(),
+       .typical_latency = this->context->typical->value(),
        .unloaded = this->context->typical->unloaded(),
        .on_unresponsive =
            [weak] {
@@ -329,7 +329,7 @@
   this->stopped = true;
   const auto attempts = this->open_attempts;
   for (const Attempt& attempt : attempts) {
-    attempt.active->give_up();
+    attempt.active->cancel();
   }
 }
 
--- a/ibismux/dispatch/part_call.h
+++ b/ibismux/dispatch/part_call.h
@@ -154,8 +154,8 @@
   const std::shared_ptr<ServiceGroup> group;
   const std::function<void()> on_change;
 
-  std::optional<CallQueue::Place> place;  ///< Set while the part is queued.
-  std::function<bool()> deferred_start;   ///< Set while deferred.
+  std::optional<CallQueue::Position> place;  ///< Set while the part is queued.
+  std::function<bool()> deferred_start;      ///< Set while deferred.
   State current_state = State::kIdle;
   bool starting = false;
   bool stopped = false;
--- a/ibismux/dispatch/request_run.cc
+++ b/ibismux/dispatch/request_run.cc
@@ -132,7 +132,8 @@
   if (!service.can_serve(zones)) {
     return Duration::max();
   }
-  const bool is_standing = service.queue().standing(now) > kStandingQueueAge;
+  const bool is_standing =
+      service.queue().nonempty_for(now) > kStandingQueueAge;
   const TimePoint latest = is_standing ? this->shared_context->due
                                        : this->shared_context->final_deadline;
   const Duration work = this->shared_context->typical->unloaded();
--- a/ibismux/dispatch/service_group.cc
+++ b/ibismux/dispatch/service_group.cc
@@ -105,10 +105,10 @@
                             TimePoint now) const {
   const directory::LeafEntry& entry = leaf.entry();
   const DispatchPolicy& policy = this->settings.policy;
-  const LeafState state{
+  const LeafCostFactors state{
       .ratio = leaf.estimate().ratio(now),
       .failure_share = leaf.estimate().failure_share(now),
-      .busy = leaf.busy(),
+      .active_calls = leaf.active_calls(),
       .slots = entry.slots,
       .cold = policy.weigh_cold && entry.warmup_left.count() > 0,
       .remote = policy.prefer_own_zone && !this->is_own_zone(leaf),
@@ -172,7 +172,7 @@
 bool ServiceGroup::is_healthy_with_free_slot(const Leaf& leaf,
                                              const SelectionCriteria& criteria,
                                              TimePoint now) const {
-  return leaf.busy() < leaf.entry().slots && leaf.keeps_links() &&
+  return leaf.active_calls() < leaf.entry().slots && leaf.keeps_links() &&
          leaf.estimate().ratio(now) <= kMaxHealthyLatencyRatio &&
          leaf.estimate().failure_share(now) <= kMaxHealthyFailureShare &&
          !this->is_unresponsive(leaf, criteria, now);
@@ -221,7 +221,7 @@
 }
 
 void ServiceGroup::serve_waiting() {
-  this->waiting.offer([this] {
+  this->waiting.start_waiting([this] {
     return std::any_of(this->members.begin(), this->members.end(),
                        [](const auto& leaf) {
                          return leaf->in_service() && leaf->has_room();
@@ -235,19 +235,19 @@
     return;
   }
   for (const auto& leaf : this->members) {
-    leaf->announce_when_warmer();
+    leaf->notify_when_allowed();
   }
 }
 
 Duration ServiceGroup::expected_wait(std::uint32_t priority,
                                      const ZoneNames* zones) const {
-  const std::size_t ahead = this->waiting.ahead_of(priority);
+  const std::size_t ahead = this->waiting.count_ahead(priority);
   if (ahead == 0) {
     return Duration::zero();
   }
   std::size_t concurrency = 0;
   for (const auto& leaf : this->members) {
-    concurrency += is_eligible(*leaf, zones) ? leaf->most_calls() : 0;
+    concurrency += is_eligible(*leaf, zones) ? leaf->max_calls() : 0;
   }
   return this->call_time.value() * (ahead + 1) /
          std::max<std::size_t>(1, concurrency);
--- a/tests/dispatch/dispatch_fixture.h
+++ b/tests/dispatch/dispatch_fixture.h
@@ -57,7 +57,7 @@
 
   /// Restarts the leafs whose process ended, as new runs under their old ids.
   void restart_ended_leafs() {
-    for (const std::string& id : this->leafs.revive()) {
+    for (const std::string& id : this->leafs.restart_ended()) {
       directory::LeafEntry& entry = this->entries.at(id);
       ++entry.run.started;
       this->dispatcher.on_leaf(entry);
--- a/tests/dispatch/fake_leafs.h
+++ b/tests/dispatch/fake_leafs.h
@@ -21,20 +21,20 @@
 
 namespace ibismux::dispatch::testing {
 
-/// What a fake leaf does with the calls it gets.
+/// How a fake leaf handles the calls that it gets.
 struct Behaviour {
   bool refuses_dials = false;
-  std::chrono::milliseconds dial{0};  ///< Until a connection is open.
-  bool resets = false;  ///< Takes a call and drops the connection.
+  std::chrono::milliseconds dial{0};  ///< Time to open a connection.
+  bool resets = false;  ///< Accepts a call, then drops the connection.
   bool silent = false;  ///< Never answers.
-  std::chrono::milliseconds work{0};  ///< Until the answer.
-  bool sheds = false;                 ///< Says that it hasn't run the call.
-  bool fails = false;                 ///< Answers 500.
-  bool replaced = false;              ///< Another leaf has its address.
+  std::chrono::milliseconds work{0};  ///< Time until the answer.
+  bool sheds = false;     ///< Answers that it didn't execute the call.
+  bool fails = false;     ///< Answers 500.
+  bool replaced = false;  ///< Another leaf has its address.
 };
 
-/// Leafs in memory, behind the interface that the dispatcher calls. No sockets;
-/// an answer comes at once unless the leaf is silent or has work to do.
+/// In-memory leafs behind the interface that the dispatcher uses. There are no
+/// sockets; an answer comes immediately unless `silent` or `work` is set.
 class FakeLeafs : public LeafConnector {
  public:
   std::map<std::string, Behaviour> behaviour;  ///< By instance.
@@ -42,7 +42,7 @@
       runs;  ///< Request ids.
   mutable std::map<std::string, int> dials;
 
-  /// How many leafs have run request `id`.
+  /// How many times the leafs have run request `id`.
   [[nodiscard]] int times_run(const std::string& id) const {
     int times = 0;
     for (const auto& [instance, ids] : this->runs) {
@@ -54,20 +54,20 @@
   [[nodiscard]] std::unique_ptr<LeafLink> make(
       const directory::LeafEntry& entry) const override;
 
-  /// A call of this target ends the leaf that begins to work on it: all its
-  /// connections close, and it refuses new ones until `revive()`.
+  /// A call with this target crashes the leaf that executes it: all connections
+  /// to the leaf close, and it refuses new ones until `restart_ended()`.
   std::string crashing_target;
-  /// Starts the leafs again that have ended. @return Their ids.
-  std::set<std::string> revive() noexcept {
+  /// Restarts the leafs that have ended. @return Their ids.
+  std::set<std::string> restart_ended() noexcept {
     return std::exchange(this->ended, {});
   }
-  /// Ends the leafs that have run anything, for no request's sake.
+  /// Ends all leafs that have run a request, independently of any request.
   void end_all() {
     for (const auto& [instance, ids] : this->runs) {
       this->ended.insert(instance);
     }
   }
-  /// How many leafs calls of `crashing_target` have ended so far.
+  /// How many crashes calls with `crashing_target` have caused so far.
   mutable int crashes = 0;
 
   /// Closes all connections that are open now.
@@ -76,8 +76,8 @@
  private:
   class Link;
 
-  std::uint64_t epoch = 0;              ///< Links of earlier ones are closed.
-  mutable std::set<std::string> ended;  ///< Leafs whose process is gone.
+  std::uint64_t epoch = 0;  ///< Links opened in an earlier epoch are closed.
+  mutable std::set<std::string> ended;  ///< Leafs whose process has ended.
 };
 
 class FakeLeafs::Link : public LeafLink {
@@ -87,19 +87,19 @@
 
   Task<Result<void>> open(TimePoint) override {
     ++this->leafs.dials[this->instance];
-    if (this->now().refuses_dials || this->has_ended()) {
+    if (this->current_behaviour().refuses_dials || this->has_ended()) {
       Error error = make_error(ErrorKind::kLeafUnavailable, "refused");
       error.execution = Execution::kNotRun;
       co_return tl::unexpected(std::move(error));
     }
-    co_await pause(this->now().dial);
+    co_await pause(this->current_behaviour().dial);
     this->is_open = true;
-    this->opened_in = this->leafs.epoch;
+    this->opened_epoch = this->leafs.epoch;
     co_return Result<void>();
   }
 
   Task<Result<LeafReply>> call(std::shared_ptr<const LeafCall> call) override {
-    const Behaviour behaviour = this->now();
+    const Behaviour behaviour = this->current_behaviour();
     LeafReply reply;
     reply.answer.receipt = this->instance + "." + call->request_id;
     if (behaviour.replaced) {
@@ -112,10 +112,10 @@
     }
     this->leafs.runs[this->instance].push_back(call->request_id);
     if (behaviour.silent) {
-      this->waiting.emplace(co_await boost::asio::this_coro::executor);
-      this->waiting->expires_at(call->deadline);
+      this->silence_timer.emplace(co_await boost::asio::this_coro::executor);
+      this->silence_timer->expires_at(call->deadline);
       boost::system::error_code error;
-      co_await this->waiting->async_wait(
+      co_await this->silence_timer->async_wait(
           boost::asio::redirect_error(boost::asio::use_awaitable, error));
       this->is_open = false;
       co_return fail(ErrorKind::kDeadlineExceeded, "no answer");
@@ -137,13 +137,13 @@
   }
 
   [[nodiscard]] bool usable() const noexcept override {
-    return this->is_open && this->opened_in == this->leafs.epoch &&
+    return this->is_open && this->opened_epoch == this->leafs.epoch &&
            !this->has_ended();
   }
   void close() noexcept override {
     this->is_open = false;
-    if (this->waiting) {
-      this->waiting->cancel();
+    if (this->silence_timer) {
+      this->silence_timer->cancel();
     }
   }
 
@@ -163,7 +163,7 @@
     return this->leafs.ended.contains(this->instance);
   }
 
-  [[nodiscard]] Behaviour now() const {
+  [[nodiscard]] Behaviour current_behaviour() const {
     const auto found = this->leafs.behaviour.find(this->instance);
     return found == this->leafs.behaviour.end() ? Behaviour{} : found->second;
   }
@@ -171,8 +171,8 @@
   const FakeLeafs& leafs;
   const std::string instance;
   bool is_open = false;
-  std::uint64_t opened_in = 0;
-  std::optional<boost::asio::steady_timer> waiting;
+  std::uint64_t opened_epoch = 0;
+  std::optional<boost::asio::steady_timer> silence_timer;
 };
 
 inline std::unique_ptr<LeafLink> FakeLeafs::make(
--- a/tests/dispatch/leaf_cost_test.cc
+++ b/tests/dispatch/leaf_cost_test.cc
@@ -9,30 +9,31 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kUsual{30};
+constexpr milliseconds kTypical{30};
 constexpr milliseconds kObjective{200};
 
-Duration cost(const LeafState& leaf) {
-  return leaf_cost(leaf, kUsual, kObjective, DispatchSettings{}.remote_cost);
+Duration cost(const LeafCostFactors& leaf) {
+  return leaf_cost(leaf, kTypical, kObjective, DispatchSettings{}.remote_cost);
 }
 
-Test(leaf_cost, an_idle_leaf_of_the_own_zone_costs_the_usual) {
-  cr_assert(cost({}) == kUsual);
+Test(leaf_cost, an_idle_leaf_in_the_same_zone_costs_the_typical_latency) {
+  cr_assert(cost({}) == kTypical);
 }
 
-// The load: a fleet over four zones, leafs a quarter busy, varying times.
-Test(leaf_cost, a_leaf_that_is_busy_as_usual_keeps_the_calls_of_its_zone) {
-  const LeafState own{.ratio = 1.4, .busy = 1, .slots = 4};
+// Load pattern: a fleet over four zones, 25% of the slots of each leaf in use,
+// varying latencies.
+Test(leaf_cost, a_leaf_under_normal_load_keeps_the_calls_of_its_zone) {
+  const LeafCostFactors own{.ratio = 1.4, .active_calls = 1, .slots = 4};
   cr_assert(cost(own) < cost({.remote = true}));
 }
 
-Test(leaf_cost, a_slow_leaf_of_the_own_zone_loses_them) {
-  const LeafState own{.ratio = 2.5};
+Test(leaf_cost, a_slow_leaf_loses_the_calls_of_its_zone) {
+  const LeafCostFactors own{.ratio = 2.5};
   cr_assert(cost(own) > cost({.remote = true}));
 }
 
-Test(leaf_cost, a_full_leaf_of_the_own_zone_loses_them) {
-  const LeafState own{.ratio = 1.3, .busy = 3, .slots = 4};
+Test(leaf_cost, a_fully_loaded_leaf_loses_the_calls_of_its_zone) {
+  const LeafCostFactors own{.ratio = 1.3, .active_calls = 3, .slots = 4};
   cr_assert(cost(own) > cost({.remote = true}));
 }
 
@@ -40,9 +41,9 @@
   cr_assert(cost({.failure_share = 1}) > kObjective);
 }
 
-Test(leaf_cost, a_leaf_without_links_of_ours_is_a_last_resort) {
+Test(leaf_cost, a_leaf_without_links_is_a_last_resort) {
   cr_assert(cost({.keeps_links = false, .has_idle_link = false}) >
-            cost({.busy = 1, .slots = 2}));
+            cost({.active_calls = 1, .slots = 2}));
 }
 
 }  // namespace
--- a/tests/dispatch/own_zone_test.cc
+++ b/tests/dispatch/own_zone_test.cc
@@ -41,7 +41,7 @@
       entry.slots = 2;
       auto leaf = std::make_shared<Leaf>(this->loop, this->leafs, this->log,
                                          this->settings.policy, entry, [] {});
-      leaf->grant_links({.most = 3, .keep = true});
+      leaf->grant_links({.max_links = 3, .keep = true});
       this->group.add(std::move(leaf));
     }
     this->record_calls(this->own_zone_leaf(), 1.6);
@@ -68,7 +68,7 @@
     this->calls.push_back(std::make_shared<ActiveCall>());
     this->own_zone_leaf().start({.call = std::move(call),
                                  .active = this->calls.back(),
-                                 .usual = kUsual,
+                                 .typical_latency = kUsual,
                                  .unloaded = kUsual,
                                  .on_unresponsive = [] {},
                                  .on_end = [](const CallEnd&) {}});
