--- a/tests/dispatch/zone_reports_test.cc
+++ b/tests/dispatch/zone_reports_test.cc
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "ibismux/dispatch/leaf_estimate.h"
-#include "ibismux/reports/report_board.h"
+#include "ibismux/reports/report_aggregator.h"
 
 // How long the daemons of a zone avoid a slow leaf, simulated without a
 // network: the estimates of the daemons and the board that aggregates their
@@ -66,11 +66,12 @@
     for (LeafEstimate& estimate : this->estimates) {
       const auto seen = estimate.take_observations();
       if (seen.samples > 0) {
-        this->board.take(
+        this->aggregator.add(
             {{"leaf"}, seen.samples, seen.excess / seen.samples, 0}, this->now);
       }
     }
-    for (const reports::LeafReport& news : this->board.summary(this->now)) {
+    for (const reports::LeafReport& news :
+         this->aggregator.summary(this->now)) {
       for (LeafEstimate& estimate : this->estimates) {
         estimate.merge_report({.excess = news.excess,
                                .failures = news.failures,
@@ -93,7 +94,7 @@
   }
 
   std::vector<LeafEstimate> estimates;
-  reports::ReportAggregator board;
+  reports::ReportAggregator aggregator;
   const bool randomize_half_life;
   TimePoint now = Clock::now();
   TimePoint next_report = this->now + kReportInterval;
