--- a/ibismux/directory/leaf_directory.cc
+++ b/ibismux/directory/leaf_directory.cc
@@ -31,12 +31,12 @@
     this->listener.on_outdated_entry(entry);
     return;
   }
-  if (this->has_lost_its_start(entry)) {
+  if (this->lacks_known_start_time(entry)) {
     this->erase(entry.run.id, now, "no_start");
     return;
   }
   this->missing.erase(entry.run.id);
-  this->gone.erase(entry.run.id);
+  this->tombstones.erase(entry.run.id);
   LeafEntry& known = this->entries[entry.run.id];
   if (known == entry) {
     return;
@@ -52,10 +52,11 @@
   if (known == this->entries.end()) {
     return;
   }
-  const bool is_of_earlier_run = last && known->second.run.is_after(last->run);
-  if (this->is_uncertain(now)) {
-    this->missing.try_emplace(id, Missing{this->settled_at, false});
-  } else if (is_of_earlier_run) {
+  const bool removes_earlier_run =
+      last && known->second.run.is_after(last->run);
+  if (this->in_grace_period(now)) {
+    this->missing.try_emplace(id, Missing{this->grace_period_end, false});
+  } else if (removes_earlier_run) {
     this->missing.try_emplace(id, Missing{now + kReturnTime, true});
   } else {
     this->erase(id, now, "removed");
@@ -67,59 +68,60 @@
 }
 
 void LeafDirectory::registry_lost() {
-  this->lost = true;
+  this->registry_is_down = true;
 }
 
 void LeafDirectory::registry_regained(TimePoint now) {
-  if (this->lost) {
-    this->lost = false;
-    this->settled_at = now + kReturnTime;
-    // Those that lapsed meanwhile have as long as those that lapse now.
+  if (this->registry_is_down) {
+    this->registry_is_down = false;
+    this->grace_period_end = now + kReturnTime;
+    // Entries that expired during the outage get the same grace period as those
+    // that expire now.
     for (auto& [id, row] : this->missing) {
-      row.until = this->settled_at;
+      row.removal_at = this->grace_period_end;
     }
   }
 }
 
 void LeafDirectory::registry_unbroken_since(TimePoint since) {
-  if (this->lost) {
+  if (this->registry_is_down) {
     return;
   }
-  this->settled_at = since + kReturnTime;
+  this->grace_period_end = since + kReturnTime;
   for (auto& [id, row] : this->missing) {
-    if (!row.was_of_earlier_run) {
-      row.until = this->settled_at;
+    if (!row.replaces_earlier_run) {
+      row.removal_at = this->grace_period_end;
     }
   }
 }
 
 void LeafDirectory::expire(TimePoint now) {
-  if (this->lost) {
+  if (this->registry_is_down) {
     return;
   }
-  std::vector<std::string> late;
+  std::vector<std::string> expired;
   for (const auto& [id, row] : this->missing) {
-    if (row.until <= now) {
-      late.push_back(id);
+    if (row.removal_at <= now) {
+      expired.push_back(id);
     }
   }
-  for (const std::string& id : late) {
+  for (const std::string& id : expired) {
     this->erase(id, now, "not_back");
   }
 }
 
 TimePoint LeafDirectory::next_expiry() const noexcept {
   TimePoint first = TimePoint::max();
-  if (!this->lost) {
+  if (!this->registry_is_down) {
     for (const auto& [id, row] : this->missing) {
-      first = std::min(first, row.until);
+      first = std::min(first, row.removal_at);
     }
   }
   return first;
 }
 
-bool LeafDirectory::is_uncertain(TimePoint now) const noexcept {
-  return this->lost || now < this->settled_at;
+bool LeafDirectory::in_grace_period(TimePoint now) const noexcept {
+  return this->registry_is_down || now < this->grace_period_end;
 }
 
 bool LeafDirectory::is_outdated(const LeafEntry& entry) const {
@@ -127,18 +129,19 @@
   if (known != this->entries.end()) {
     return entry.is_older_than(known->second);
   }
-  const auto last = this->gone.find(entry.run.id);
-  if (last == this->gone.end()) {
+  const auto last = this->tombstones.find(entry.run.id);
+  if (last == this->tombstones.end()) {
     return false;
   }
-  // A leaf that is back writes a higher number; the same one is a late write.
+  // A leaf that has come back writes a higher sequence number. An equal number
+  // means that a delayed write has arrived.
   const LeafEntry& before = last->second.entry;
   return entry.is_older_than(before) ||
          (entry.run == before.run && entry.run.started.count() > 0 &&
           entry.sequence == before.sequence);
 }
 
-bool LeafDirectory::has_lost_its_start(const LeafEntry& entry) const {
+bool LeafDirectory::lacks_known_start_time(const LeafEntry& entry) const {
   const auto known = this->entries.find(entry.run.id);
   return known != this->entries.end() && entry.run.started.count() == 0 &&
          known->second.run.started.count() > 0;
@@ -152,23 +155,25 @@
   if (known == this->entries.end()) {
     return;
   }
-  this->remember_gone(std::move(known->second), now);
+  this->add_tombstone(std::move(known->second), now);
   this->entries.erase(known);
   this->listener.on_leaf_gone(id, reason);
 }
 
-void LeafDirectory::remember_gone(LeafEntry entry, TimePoint now) {
-  const auto is_past = [&](const std::string& id) {
-    const auto row = this->gone.find(id);
-    return row == this->gone.end() || now - row->second.at > kRememberGone;
+void LeafDirectory::add_tombstone(LeafEntry entry, TimePoint now) {
+  const auto is_expired = [&](const std::string& id) {
+    const auto row = this->tombstones.find(id);
+    return row == this->tombstones.end() ||
+           now - row->second.at > kRememberGone;
   };
-  while (!this->gone_in_order.empty() && is_past(this->gone_in_order.front())) {
-    this->gone.erase(this->gone_in_order.front());
-    this->gone_in_order.pop_front();
+  while (!this->tombstone_order.empty() &&
+         is_expired(this->tombstone_order.front())) {
+    this->tombstones.erase(this->tombstone_order.front());
+    this->tombstone_order.pop_front();
   }
   const std::string id = entry.run.id;
-  this->gone_in_order.push_back(id);
-  this->gone.insert_or_assign(id, Gone{std::move(entry), now});
+  this->tombstone_order.push_back(id);
+  this->tombstones.insert_or_assign(id, Tombstone{std::move(entry), now});
 }
 
 }  // namespace ibismux::directory
--- a/ibismux/directory/leaf_directory.h
+++ b/ibismux/directory/leaf_directory.h
@@ -12,85 +12,88 @@
 
 namespace ibismux::directory {
 
-/// Receives what changes in a `LeafDirectory`. Called on the directory's
-/// thread.
+/// Receives the changes of a `LeafDirectory`. Called on the directory's thread.
 class DirectoryListener {
  public:
   virtual ~DirectoryListener() = default;
-  /// All entries of a listing are about to be told, one by one, and have been.
+  /// Called before and after the entries of a listing are reported one by one.
   /// @{
   virtual void on_listing_begin() {}
   virtual void on_listing_end() {}
   /// @}
-  /// A leaf is new, has started again, or says something else of itself.
+  /// A leaf was added, has restarted, or its entry has changed.
   virtual void on_leaf(const LeafEntry& entry) = 0;
-  /// A leaf is gone. @param reason One word for the log.
+  /// A leaf was removed. @param reason One word for the log.
   virtual void on_leaf_gone(const std::string& id, std::string_view reason) = 0;
-  /// An entry was passed over: the leaf has written a newer one before.
+  /// An entry was ignored because the leaf had already written a newer one.
   virtual void on_outdated_entry(const LeafEntry&) {}
 };
 
-/// Which leafs there are now, from the registry's lists and changes.
+/// The set of current leafs, built from the registry's listings and changes.
 ///
-/// The registry drops the entries of living leafs when they can't reach it, so
-/// an entry that vanishes around an outage of the registry says little: it is
-/// kept until `kReturnTime` after the outage, by when living leafs are back.
-/// Notice where this is missing: with each outage of the registry all leafs
-/// seem gone and every request is refused.
+/// The registry drops the entries of running leafs that can't reach it. A
+/// missing entry around an outage of the registry is therefore no evidence that
+/// the leaf has ended: the leaf is kept until `kReturnTime` after the outage,
+/// by which time running leafs have registered again. Without this rule, each
+/// outage of the registry would remove all leafs, and every request would be
+/// refused.
 ///
-/// A write that a leaf's host gave up on may still be carried out seconds
-/// later, over newer ones. An entry of an earlier run, or of the same run with
-/// a lower number, is passed over. Notice where this is missing: a leaf that
-/// leaves is ready again, and gets calls up to the moment at which it ends.
+/// A write that timed out at a leaf's host may still be applied seconds later
+/// and overwrite newer ones. An entry of an earlier run, or of the same run
+/// with a lower sequence number, is therefore ignored. Without this rule, a
+/// leaf that is leaving would appear ready again and receive calls until its
+/// process ends.
 ///
-/// Not thread safe. The times given never go back.
+/// Not thread safe. The times passed in must not decrease.
 class LeafDirectory {
  public:
-  /// Entries that lapsed while the registry was away are back this long after
-  /// its return, if their leafs live; 2 s is what the registry's owners
-  /// promise.
+  /// Time within which running leafs whose entries expired during an outage of
+  /// the registry have registered again after its end; the registry's owners
+  /// guarantee 2 s.
   static constexpr std::chrono::milliseconds kReturnTime{2000};
 
-  /// For how long the last entry of a leaf that is gone is remembered, to know
-  /// its late writes: the longest that a store is known to hold one back is 6
-  /// s.
+  /// How long the last entry of a removed leaf is kept in order to recognize
+  /// its delayed writes. The longest delay that a store has been seen to cause
+  /// is 6 s.
   static constexpr std::chrono::seconds kRememberGone{30};
 
-  /// @param listener Outlives the directory.
+  /// @param listener Must outlive the directory.
   explicit LeafDirectory(DirectoryListener& listener) : listener(listener) {}
 
   /// @name The registry's content
   /// @{
 
-  /// All entries as of now.
+  /// Replaces the content by a complete listing.
   void replace(const std::vector<LeafEntry>& entries, TimePoint now);
-  /// One entry is new or has changed. One that no longer says when its leaf
-  /// started is another writer's, and discards the leaf.
+  /// Adds or changes one entry. An entry that lacks the start time that the
+  /// leaf's previous entry had comes from another writer, and removes the leaf.
   void put(const LeafEntry& entry, TimePoint now);
-  /// One entry was removed.
-  /// @param last What it held, where that is known: if that is of an earlier
-  /// run than the one in use, the later run writes its entry anew.
+  /// Handles the removal of one entry.
+  /// @param last The removed entry, or null if it isn't known. If it belongs to
+  /// an earlier run than the known one, the leaf is kept for `kReturnTime`,
+  /// within which the later run writes its entry again.
   void remove(const std::string& id, TimePoint now, const LeafEntry* last);
-  /// One entry can't be read any more: its leaf isn't used, at once.
+  /// Removes the leaf at once because its entry can't be read any more.
   void discard(const std::string& id, TimePoint now);
   /// @}
 
-  /// @name The registry's health
+  /// @name The registry's availability
   /// @{
+  /// The registry no longer answers.
   void registry_lost();
   /// The registry answers again.
   void registry_regained(TimePoint now);
-  /// The registry has answered somebody without a break since then. What was
-  /// missing from it `kReturnTime` later is gone, though this daemon could not
-  /// reach it for a while.
+  /// The registry has answered some daemon without interruption since `since`.
+  /// Leafs whose entries were missing `kReturnTime` after that have ended, even
+  /// if this daemon could not reach the registry for a while.
   void registry_unbroken_since(TimePoint since);
   /// @}
 
-  /// Takes the entries that were kept too long as gone. To be called at
-  /// `next_expiry()`.
+  /// Removes the leafs without an entry whose grace period has ended. To be
+  /// called at `next_expiry()`.
   void expire(TimePoint now);
 
-  /// When `expire()` has something to do; max: never.
+  /// When `expire()` is due next; `TimePoint::max()` if never.
   [[nodiscard]] TimePoint next_expiry() const noexcept;
 
   [[nodiscard]] std::size_t size() const noexcept {
@@ -98,34 +101,35 @@
   }
 
  private:
-  /// The last entry of a leaf that is gone.
-  struct Gone {
+  /// The last entry of a removed leaf and the time of the removal.
+  struct Tombstone {
     LeafEntry entry;
     TimePoint at;
   };
 
-  /// Whether a missing entry may be that of a living leaf.
-  [[nodiscard]] bool is_uncertain(TimePoint now) const noexcept;
-  /// Whether the leaf has written a newer entry than this one before.
+  /// Whether the leaf of a missing entry may still be running.
+  [[nodiscard]] bool in_grace_period(TimePoint now) const noexcept;
+  /// Whether the leaf has already written a newer entry than this one.
   [[nodiscard]] bool is_outdated(const LeafEntry& entry) const;
-  [[nodiscard]] bool has_lost_its_start(const LeafEntry& entry) const;
+  [[nodiscard]] bool lacks_known_start_time(const LeafEntry& entry) const;
   void erase(const std::string& id, TimePoint now, std::string_view reason);
-  void remember_gone(LeafEntry entry, TimePoint now);
+  void add_tombstone(LeafEntry entry, TimePoint now);
 
   DirectoryListener& listener;
   std::map<std::string, LeafEntry> entries;  ///< By id.
-  /// A leaf that is kept without an entry in the registry.
+  /// A leaf that is kept although the registry has no entry of it.
   struct Missing {
-    TimePoint until;
-    /// Not for an outage, but since the entry that was removed was of an
-    /// earlier run.
-    bool was_of_earlier_run = false;
+    TimePoint removal_at;
+    /// Whether the leaf is kept because the removed entry belonged to an
+    /// earlier run, and not because of an outage.
+    bool replaces_earlier_run = false;
   };
-  std::map<std::string, Missing> missing;  ///< By id.
-  std::map<std::string, Gone> gone;        ///< By id, for `kRememberGone`.
-  std::deque<std::string> gone_in_order;   ///< The same ids, the oldest first.
-  bool lost = false;
-  TimePoint settled_at = TimePoint::min();  ///< Living leafs are back by then.
+  std::map<std::string, Missing> missing;       ///< By id.
+  std::map<std::string, Tombstone> tombstones;  ///< By id, for `kRememberGone`.
+  std::deque<std::string> tombstone_order;      ///< The same ids, oldest first.
+  bool registry_is_down = false;
+  /// Running leafs have registered again by this time.
+  TimePoint grace_period_end = TimePoint::min();
 };
 
 }  // namespace ibismux::directory
--- a/ibismux/directory/leaf_entry.h
+++ b/ibismux/directory/leaf_entry.h
@@ -9,24 +9,25 @@
 
 namespace ibismux::directory {
 
-/// What one run of a leaf says of itself.
+/// The registry entry that one run of a leaf has written.
 struct LeafEntry {
   LeafRun run;
-  /// Counts what this run has written; later entries have higher numbers.
+  /// Sequence number of the entry within its run; later entries have higher
+  /// numbers.
   std::uint64_t sequence = 0;
   std::string service;
-  std::string address;  ///< IP number.
+  std::string address;  ///< IP address.
   std::uint16_t port = 0;
   std::string zone;
-  std::uint32_t slots = 1;  ///< Requests that it works on at once.
+  std::uint32_t slots = 1;  ///< Requests that run at the same time.
   bool draining = false;
-  /// How much longer the leaf is slow after its start.
+  /// Remaining time for which the leaf is slow after its start.
   std::chrono::milliseconds warmup_left{0};
 
   [[nodiscard]] bool operator==(const LeafEntry&) const = default;
 
-  /// Whether this one was written before `other`, by the same leaf. Entries of
-  /// a leaf that doesn't say when it started have no order.
+  /// Whether the same leaf wrote this entry before `other`. Entries of a leaf
+  /// that doesn't state its start time have no order.
   [[nodiscard]] bool is_older_than(const LeafEntry& other) const noexcept {
     return other.run.is_after(this->run) ||
            (this->run == other.run && this->run.started.count() > 0 &&
--- a/ibismux/directory/leaf_run.h
+++ b/ibismux/directory/leaf_run.h
@@ -7,23 +7,25 @@
 
 namespace ibismux::directory {
 
-/// Names one run of a leaf's process. A leaf that starts again may keep its id;
-/// it then holds nothing of what it had: no connection, no call, no queue, and
-/// nothing that was measured of it holds any more.
+/// Identifies one run of a leaf's process. A leaf may keep its id across a
+/// restart, but none of its state: connections, calls and queues are lost, and
+/// earlier measurements of it no longer apply.
 struct LeafRun {
   std::string id;
-  /// When the process started, since the Unix epoch by the leaf's own clock; 0
-  /// where the leaf doesn't say. Then the id alone names the run.
+  /// Start time of the process since the Unix epoch, by the leaf's own clock; 0
+  /// if the leaf doesn't state it. In that case the id alone identifies the
+  /// run.
   std::chrono::milliseconds started{0};
 
   [[nodiscard]] bool operator==(const LeafRun&) const = default;
-  /// An order for maps; it says nothing of which run is later.
+  /// An order for maps; it doesn't tell which run is later.
   [[nodiscard]] bool operator<(const LeafRun& other) const noexcept {
     return std::tie(this->id, this->started) <
            std::tie(other.id, other.started);
   }
 
-  /// Whether both are runs of one leaf, and this one is the later one.
+  /// Whether both are runs of the same leaf and this one started later. False
+  /// if `other` doesn't state its start time.
   [[nodiscard]] bool is_after(const LeafRun& other) const noexcept {
     return this->id == other.id && other.started.count() > 0 &&
            this->started > other.started;
--- a/ibismux/directory/refused_entry.h
+++ b/ibismux/directory/refused_entry.h
@@ -7,28 +7,28 @@
 
 namespace ibismux::directory {
 
-/// The closed list of why an entry of the registry names no leaf to use.
+/// Why an entry of the registry doesn't describe a usable leaf.
 enum class EntryFault : unsigned char {
-  kUnreadable,  ///< No object, or bytes that can't be parsed.
-  kField,       ///< A field is missing, of another type or out of its range.
-  kAddress,     ///< The address is no IP number with a port.
-  kState,       ///< A state that leafs don't have.
+  kUnreadable,  ///< Can't be parsed, or is no JSON object.
+  kField,       ///< A field is missing, mistyped or out of range.
+  kAddress,     ///< The address is not an IP address with a port.
+  kState,       ///< The state is unknown.
 };
 
-/// How many faults there are.
+/// Number of values of `EntryFault`.
 inline constexpr std::size_t kEntryFaults = 4;
 
-/// Stable, snake case; the label of a metric. Thread safe.
+/// Stable name in snake case, used as a metric label. Thread safe.
 [[nodiscard]] constexpr std::string_view to_string(EntryFault fault) noexcept {
   constexpr std::string_view kNames[kEntryFaults] = {"unreadable", "field",
                                                      "address", "state"};
   return kNames[static_cast<std::size_t>(fault)];
 }
 
-/// An entry that another writer left, or that was damaged.
+/// A registry entry that another writer wrote or that was damaged.
 struct RefusedEntry {
   EntryFault fault = EntryFault::kUnreadable;
-  std::string message;  ///< Names the field and what is wrong with it.
+  std::string message;  ///< Names the field and the error in it.
 };
 
 }  // namespace ibismux::directory
--- a/tests/directory/leaf_directory_test.cc
+++ b/tests/directory/leaf_directory_test.cc
@@ -9,12 +9,12 @@
 
 using std::chrono::milliseconds;
 
-/// Remembers what it was told.
+/// Records the changes that the directory reports.
 class Listener : public DirectoryListener {
  public:
   void on_leaf(const LeafEntry& entry) override {
     this->known.insert(entry.run.id);
-    ++this->told;
+    ++this->reports;
   }
   void on_leaf_gone(const std::string& id, std::string_view) override {
     this->known.erase(id);
@@ -23,7 +23,7 @@
   void on_outdated_entry(const LeafEntry&) override { ++this->outdated; }
 
   std::set<std::string> known;
-  int told = 0;
+  int reports = 0;
   int outdated = 0;
 };
 
@@ -34,7 +34,7 @@
   return entry;
 }
 
-/// Entry number `sequence` of the run of leaf "a" that began at `started`.
+/// An entry of the run of leaf "a" that started at `started`.
 LeafEntry run_of_a(int started, int sequence, bool draining = false) {
   LeafEntry entry = leaf("a");
   entry.run.started = milliseconds(started);
@@ -51,23 +51,23 @@
   Fixture() { this->directory.replace({leaf("a"), leaf("b")}, this->now); }
 };
 
-Test(leaf_directory, a_listing_replaces_what_was_known) {
+Test(leaf_directory, a_listing_replaces_the_known_leafs) {
   Fixture fixture;
   fixture.directory.replace({leaf("b"), leaf("c")}, fixture.now);
   cr_assert(fixture.listener.known == std::set<std::string>({"b", "c"}));
 }
 
-Test(leaf_directory, what_has_not_changed_is_not_told_again) {
+Test(leaf_directory, unchanged_entries_are_not_reported_again) {
   Fixture fixture;
   fixture.directory.put(leaf("a"), fixture.now);
-  cr_assert(fixture.listener.told == 2);
+  cr_assert(fixture.listener.reports == 2);
   LeafEntry draining = leaf("a");
   draining.draining = true;
   fixture.directory.put(draining, fixture.now);
-  cr_assert(fixture.listener.told == 3);
+  cr_assert(fixture.listener.reports == 3);
 }
 
-Test(leaf_directory, an_entry_that_is_removed_is_gone_at_once) {
+Test(leaf_directory, a_removed_entry_removes_the_leaf_at_once) {
   Fixture fixture;
   fixture.directory.remove("a", fixture.now, nullptr);
   cr_assert(fixture.listener.known == std::set<std::string>({"b"}));
@@ -75,9 +75,10 @@
   fixture.directory.remove("never", fixture.now, nullptr);
 }
 
-// Guards against an empty list after an outage that is taken at its word.
+// Guards against removing running leafs whose entries expired during an outage:
+// the listing after the outage is empty.
 Test(leaf_directory,
-     entries_that_lapse_in_an_outage_are_kept_until_they_return) {
+     entries_that_expire_in_an_outage_are_kept_for_a_grace_period) {
   Fixture fixture;
   fixture.directory.registry_lost();
   fixture.now += milliseconds(5000);
@@ -93,7 +94,7 @@
   cr_assert(fixture.directory.next_expiry() == TimePoint::max());
 }
 
-Test(leaf_directory, removals_that_are_told_right_after_an_outage_wait_too) {
+Test(leaf_directory, removals_right_after_an_outage_are_delayed_too) {
   Fixture fixture;
   fixture.directory.registry_lost();
   fixture.directory.registry_regained(fixture.now);
@@ -104,8 +105,9 @@
   cr_assert(fixture.listener.known == std::set<std::string>({"a"}));
 }
 
-// Guards against removals that pass for entries which lapsed in an outage.
-Test(leaf_directory, what_is_missing_is_gone_where_the_registry_was_up) {
+// Guards against treating removed entries as expired when only this daemon had
+// lost the registry.
+Test(leaf_directory, missing_leafs_are_removed_if_the_registry_was_up) {
   Fixture fixture;
   const TimePoint up_since = fixture.now - milliseconds(60'000);
   fixture.directory.registry_lost();
@@ -121,9 +123,10 @@
   cr_assert(!fixture.listener.known.contains("b"));
 }
 
-// The other way round: an outage that this daemon did not notice itself.
+// Guards against removing running leafs whose entries expired during an outage
+// that other daemons noticed and this one did not.
 Test(leaf_directory,
-     what_is_missing_after_an_outage_that_others_noticed_stays) {
+     missing_leafs_are_kept_after_an_outage_that_others_noticed) {
   Fixture fixture;
   fixture.directory.registry_unbroken_since(fixture.now);
   fixture.directory.remove("a", fixture.now, nullptr);
@@ -132,7 +135,7 @@
             fixture.now + LeafDirectory::kReturnTime);
 }
 
-Test(leaf_directory, nothing_expires_while_the_registry_is_away) {
+Test(leaf_directory, nothing_expires_while_the_registry_is_down) {
   Fixture fixture;
   fixture.directory.registry_lost();
   fixture.directory.remove("a", fixture.now, nullptr);
@@ -140,20 +143,21 @@
   cr_assert(fixture.listener.known.size() == 2);
 }
 
-// Guards against a late write that undoes a leaf's draining.
-Test(leaf_directory, a_late_write_of_the_same_run_is_passed_over) {
+// Guards against a delayed write that reverts a leaf's draining state.
+Test(leaf_directory, a_delayed_write_of_the_same_run_is_ignored) {
   Fixture fixture;
   fixture.directory.put(run_of_a(500, 7, true), fixture.now);
-  const int told = fixture.listener.told;
+  const int reports = fixture.listener.reports;
   fixture.directory.put(run_of_a(500, 6), fixture.now);
   fixture.directory.replace({run_of_a(500, 6), leaf("b")}, fixture.now);
-  cr_assert(fixture.listener.told == told);
+  cr_assert(fixture.listener.reports == reports);
   cr_assert(fixture.listener.outdated == 2);
   cr_assert(fixture.listener.known.contains("a"));
 }
 
-// The same, seen of a leaf that is gone already: it would be called again.
-Test(leaf_directory, a_late_write_of_a_leaf_that_is_gone_is_passed_over) {
+// Guards against a delayed write that adds a removed leaf again, which would
+// then be called.
+Test(leaf_directory, a_delayed_write_of_a_removed_leaf_is_ignored) {
   Fixture fixture;
   fixture.directory.put(run_of_a(500, 7, true), fixture.now);
   fixture.directory.remove("a", fixture.now, nullptr);
@@ -162,12 +166,12 @@
   fixture.directory.put(run_of_a(400, 90), fixture.now);
   cr_assert(!fixture.listener.known.contains("a"));
   cr_assert(fixture.listener.outdated == 3);
-  // Its entry had only lapsed: it writes on.
+  // A higher sequence number shows that only the entry had expired.
   fixture.directory.put(run_of_a(500, 8), fixture.now);
   cr_assert(fixture.listener.known.contains("a"));
 }
 
-Test(leaf_directory, leafs_that_are_gone_are_remembered_for_a_while) {
+Test(leaf_directory, removed_leafs_are_remembered_for_a_limited_time) {
   Fixture fixture;
   fixture.directory.put(run_of_a(500, 7), fixture.now);
   fixture.directory.remove("a", fixture.now, nullptr);
@@ -177,47 +181,50 @@
   cr_assert(fixture.listener.known.contains("a"));
 }
 
-// Guards against entries of a new run that pass for old ones by their number.
-Test(leaf_directory, a_leaf_that_starts_again_counts_anew) {
+// Guards against ignoring the entries of a new run, whose sequence numbers
+// start from 1 again.
+Test(leaf_directory, a_restarted_leaf_begins_a_new_sequence) {
   Fixture fixture;
   fixture.directory.put(run_of_a(500, 40, true), fixture.now);
-  const int told = fixture.listener.told;
+  const int reports = fixture.listener.reports;
   fixture.directory.put(run_of_a(900, 1), fixture.now);
-  cr_assert(fixture.listener.told == told + 1);
+  cr_assert(fixture.listener.reports == reports + 1);
   fixture.directory.put(run_of_a(500, 41), fixture.now);
-  cr_assert(fixture.listener.told == told + 1);
+  cr_assert(fixture.listener.reports == reports + 1);
   cr_assert(fixture.listener.outdated == 1);
 }
 
-// Guards against the removal of a former run that ends the present one.
-Test(leaf_directory, the_end_of_a_former_run_leaves_the_new_one) {
+// Guards against removing the current run when the entry of an earlier run is
+// removed.
+Test(leaf_directory, removing_an_earlier_run_keeps_the_current_one) {
   Fixture fixture;
   fixture.directory.put(run_of_a(900, 3), fixture.now);
   const LeafEntry former = run_of_a(500, 40);
   fixture.directory.remove("a", fixture.now, &former);
   cr_assert(fixture.listener.known.contains("a"));
-  // The new run writes its entry anew, within the time that the store promises.
+  // The new run is expected to write its entry again within the guaranteed
+  // time.
   const TimePoint until = fixture.now + LeafDirectory::kReturnTime;
   cr_assert(fixture.directory.next_expiry() == until);
   fixture.directory.put(run_of_a(900, 4), fixture.now);
   cr_assert(fixture.directory.next_expiry() == TimePoint::max());
-  // Where it doesn't, it is gone as well.
+  // If it doesn't, it is removed as well.
   fixture.directory.remove("a", fixture.now, &former);
   fixture.directory.expire(until);
   cr_assert(!fixture.listener.known.contains("a"));
 }
 
-Test(leaf_directory, leafs_that_do_not_say_when_they_started_go_by_their_id) {
+Test(leaf_directory, entries_without_a_start_time_have_no_order) {
   Fixture fixture;
   fixture.directory.put(run_of_a(0, 7), fixture.now);
-  const int told = fixture.listener.told;
+  const int reports = fixture.listener.reports;
   fixture.directory.put(run_of_a(0, 6, true), fixture.now);
-  cr_assert(fixture.listener.told == told + 1);
+  cr_assert(fixture.listener.reports == reports + 1);
   cr_assert(fixture.listener.outdated == 0);
 }
 
-// Guards against an entry without a start that replaces one which has it.
-Test(leaf_directory, an_entry_that_lost_its_start_names_no_leaf) {
+// Guards against replacing an entry with a start time by one without.
+Test(leaf_directory, an_entry_that_lost_its_start_time_removes_the_leaf) {
   Fixture fixture;
   fixture.directory.put(run_of_a(500, 7), fixture.now);
   fixture.directory.put(run_of_a(0, 8), fixture.now);
@@ -226,7 +233,7 @@
   cr_assert(fixture.listener.known.contains("a"));
 }
 
-Test(leaf_directory, an_unreadable_entry_counts_at_once_also_in_an_outage) {
+Test(leaf_directory, an_unreadable_entry_removes_the_leaf_even_in_an_outage) {
   Fixture fixture;
   fixture.directory.registry_lost();
   fixture.directory.discard("a", fixture.now);
