--- a/ibismux/feed/collection_feed.cc
+++ b/ibismux/feed/collection_feed.cc
@@ -17,19 +17,22 @@
 namespace asio = boost::asio;
 using std::chrono::milliseconds;
 
-// A listing of some hundred entries takes milliseconds; a store that needs
-// longer than this is tried again on a new connection.
+// Deadline of a listing. A listing of some hundred entries takes milliseconds;
+// a listing that exceeds this deadline is tried again on a new connection.
 constexpr milliseconds kListTime{1500};
-// After one call that failed: its answer alone may have been lost.
+// Pause after a single failed call, of which only the answer may have been
+// lost.
 constexpr milliseconds kFirstPause{50};
-// After further ones the store is down. The daemon's cheap checks find out when
-// it is back, and restart the feed.
+// Pause after further failures, which mean that the store is down. The daemon's
+// cheap checks detect its recovery and restart the feed.
 constexpr milliseconds kLongestPause{4000};
-// Between readings while each watch finds its history gone, which costs two
-// calls a round trip otherwise. The first one is read again at once.
+// Pauses between reads while every watch finds its history compacted; without a
+// pause this would cost two calls per round trip. The first read follows at
+// once.
 constexpr milliseconds kFirstGonePause{50};
 constexpr milliseconds kLongestGonePause{800};
-// As long as nothing is known, every request is refused.
+// Longest pause before the first successful read. Until then every request is
+// refused.
 constexpr milliseconds kLongestFirstPause{200};
 
 Update update_of(const std::string& collection, store::Listing listing) {
@@ -96,7 +99,8 @@
 
 Task<void> CollectionFeed::run(std::shared_ptr<CollectionFeed> self,
                                std::uint64_t round) {
-  // Named results: GCC 12 miscompiles a co_await in a loop's condition.
+  // Results are stored in variables because GCC 12 miscompiles a co_await in
+  // the condition of a loop.
   bool whole = false;
   while (self->round == round) {
     if (whole) {
@@ -147,7 +151,7 @@
 
 Task<bool> CollectionFeed::follow(std::shared_ptr<CollectionFeed> self) {
   const store::Version since = self->known.version();
-  // The store answers a watch at once where there is anything newer.
+  // The store answers a watch at once if it holds anything newer.
   self->current = true;
   auto batch = co_await self->store.watch(self->known.name(), since,
                                           self->settings.watch_wait);
@@ -155,10 +159,11 @@
     self->listeners.on_store_failure();
     self->report_lost(batch.error().message);
     co_await pause(self, self->next_pause(batch.error()));
-    // Read whole, not watched from where the lost watch stood. A store that cut
-    // its watches because it dropped their history may take the same watch up
-    // again, tell nothing of what was dropped, and say so only at the next
-    // change: the daemon would go on for seconds with what was in force before.
+    // Read the complete collection instead of resuming the watch at its
+    // version. A store that closed its watches because it dropped their history
+    // may accept the same watch again without sending the dropped changes, and
+    // report the gap only at the next change. Until then, for seconds, the
+    // daemon would use an outdated state.
     co_return false;
   }
   self->store_answered();
--- a/ibismux/feed/collection_feed.h
+++ b/ibismux/feed/collection_feed.h
@@ -16,42 +16,44 @@
 
 namespace ibismux::feed {
 
-/// Times of a feed.
+/// Timing of a `CollectionFeed`.
 struct FeedSettings {
   std::chrono::milliseconds watch_wait{25'000};
-  /// After a change: how long further ones may gather before the next call.
+  /// Pause between a change and the next watch, in which further changes
+  /// accumulate.
   std::chrono::milliseconds change_pause{300};
-  /// After the first reading: how long peers may offer to bring updates
-  /// before the first watch.
+  /// Pause between the first read and the first watch, in which peers may offer
+  /// to send updates.
   std::chrono::milliseconds first_pause{0};
 };
 
-/// Follows one collection of the store, for as long as it lives: reads it whole
-/// and then watches what changes, or takes what peers bring.
+/// Follows one collection of the store throughout its lifetime: reads the
+/// complete collection and then watches for changes, or applies updates that
+/// peers send.
 ///
-/// The first reading may be answered from a state some seconds old: after an
-/// outage all daemons of a fleet make one at once, each is paid for, and such
-/// ones are cheap. What it lacks comes from peers a moment later, or from the
-/// first watch. Until then it is no contact with the store that peers could
-/// rely on.
+/// The first read may return a state that is some seconds old. After an outage
+/// all daemons of a fleet read at the same time, each read is paid for, and
+/// stale reads are cheap. Newer changes arrive from peers shortly afterwards,
+/// or with the first watch. Until then the read doesn't count as a contact with
+/// the store on which peers could rely.
 ///
 /// Belongs to one event loop; not thread safe.
 class CollectionFeed : public std::enable_shared_from_this<CollectionFeed> {
  public:
-  /// What else is called with the feed's updates.
+  /// Callbacks besides the `FeedObserver`.
   struct Listeners {
-    /// Something new was taken in, from the store or a peer.
+    /// A newer update was applied, from the store or a peer.
     std::function<void(const Update&)> on_update = [](const Update&) {};
     /// The store has answered a call of this feed.
     std::function<void()> on_store_contact = [] {};
     /// A call of this feed to the store failed.
     std::function<void()> on_store_failure = [] {};
-    /// How long peers may offer to bring updates, beyond the settings' first
-    /// pause, before the first watch.
+    /// Returns how long to wait for updates of peers before the first watch, in
+    /// addition to `FeedSettings::first_pause`.
     std::function<Duration()> wait_for_peers = [] { return Duration::zero(); };
   };
 
-  /// All but `settings` outlive the feed.
+  /// All references must outlive the feed.
   CollectionFeed(boost::asio::io_context& loop,
                  store::ObjectStore& store,
                  std::string collection,
@@ -64,40 +66,42 @@
     this->listeners = std::move(listeners);
   }
 
-  /// Begins to follow the store. Called once.
+  /// Starts to follow the store. Must be called only once.
   void start();
 
-  /// Reads the whole collection again and watches anew, whatever becomes of the
-  /// watch that waits now: for when there is reason to think that it has
-  /// stalled. A store that did not answer for a while answers none of the
-  /// watches that it was sent meanwhile, also once it is back.
+  /// Reads the complete collection again and starts a new watch without waiting
+  /// for the pending one. For use when the pending watch may have stalled: a
+  /// store that did not answer for a while never answers the watches that it
+  /// received during that time, even after it has recovered.
   void restart();
 
-  /// Stops calling the store: peers bring updates. A watch that waits still
-  /// counts when it is answered.
+  /// Stops calling the store because peers send updates. If a pending watch is
+  /// answered later, its answer is still applied.
   void suspend();
 
-  /// The store has answered another call: a pause after a failure ends now.
+  /// Ends the pause after a failed call. For use when the store has answered
+  /// another call.
   void retry_now();
 
-  /// An update from a peer.
+  /// Applies an update from a peer.
   void take(Update update);
 
   [[nodiscard]] const CollectionMirror& mirror() const noexcept {
     return this->known;
   }
 
-  /// What is known is what the store holds now, as far as it has told: it was
-  /// read from there, not from a state some seconds old, or is watched.
+  /// Whether the known state comes from a current read of the store, rather
+  /// than a possibly stale one, or is being watched.
   [[nodiscard]] bool is_current() const noexcept { return this->current; }
 
-  /// What is known may be out of date: the last call failed, or no peer brings
-  /// updates.
+  /// Whether the known state may be out of date because the last call failed or
+  /// no peer sends updates.
   [[nodiscard]] bool lost() const noexcept { return this->is_lost; }
 
-  /// The store doesn't answer, and no peer brings updates from it.
+  /// Reports that the store doesn't answer and no peer sends its updates.
+  /// @param reason For the log.
   void report_lost(std::string_view reason);
-  /// Updates can be had again. @param reason For the log.
+  /// Reports that updates are available again. @param reason For the log.
   void report_regained(std::string_view reason);
   /// See `FeedObserver`.
   void report_unbroken_since(TimePoint since) {
@@ -105,7 +109,7 @@
   }
 
  private:
-  /// Goes on until a later round begins.
+  /// Follows the store until a later round starts.
   [[nodiscard]] static Task<void> run(std::shared_ptr<CollectionFeed> self,
                                       std::uint64_t round);
   [[nodiscard]] static Task<bool> read_all(
@@ -132,7 +136,8 @@
   bool current = false;
   std::uint64_t round = 0;
   std::uint32_t failures = 0;
-  /// After the next watch whose history is gone: until it is read again.
+  /// Pause before the next read that follows a watch whose history was
+  /// compacted.
   Duration gone_pause{0};
   http::Timer pause_timer;
   http::Timer settle_timer;
--- a/ibismux/feed/collection_mirror.cc
+++ b/ibismux/feed/collection_mirror.cc
@@ -6,8 +6,8 @@
 namespace ibismux::feed {
 
 std::optional<Update> CollectionMirror::take(Update update, TimePoint now) {
-  // A listing at the version that is known says nothing new, but the first one
-  // does even where the collection is empty.
+  // A listing is accepted at the known version too: the first listing of an
+  // empty collection counts as well.
   if (update.version < this->known || this->has_gap(update) ||
       (update.version == this->known && !update.whole)) {
     return std::nullopt;
--- a/ibismux/feed/collection_mirror.h
+++ b/ibismux/feed/collection_mirror.h
@@ -13,10 +13,11 @@
 
 namespace ibismux::feed {
 
-/// A collection of the store as this daemon knows it, whoever told it.
+/// This daemon's copy of a collection of the store, whether its updates came
+/// from the store or from peers.
 ///
-/// Its version only ever rises: an update that is older than what is known,
-/// from a slow watch or a peer that lags, changes nothing. Not thread safe.
+/// The version never decreases: an older update, from a slow watch or a lagging
+/// peer, is ignored. Not thread safe.
 class CollectionMirror {
  public:
   explicit CollectionMirror(std::string collection)
@@ -25,46 +26,49 @@
   [[nodiscard]] const std::string& name() const noexcept {
     return this->collection;
   }
-  /// The version of the store up to which all is known; 0: nothing yet.
+  /// The version of the store up to which the copy is complete; 0 if it is
+  /// still empty.
   [[nodiscard]] store::Version version() const noexcept { return this->known; }
 
-  /// Takes an update in.
-  /// @return What has changed by it, for those who follow: never the whole but
-  /// for the first time. Nothing where the update is old, or where there is a
-  /// gap between what is known and what it begins with.
+  /// Applies an update.
+  /// @return The resulting changes, for observers and peers; a complete listing
+  /// only the first time. Nothing if the update is old, or if there is a gap
+  /// between the known version and the start of the update.
   [[nodiscard]] std::optional<Update> take(Update update, TimePoint now);
 
-  /// Whether `update` begins behind what is known, so that changes are missing.
+  /// Whether `update` starts after the known version, so that the changes in
+  /// between are missing.
   [[nodiscard]] bool has_gap(const Update& update) const noexcept {
     return !update.whole && update.since > this->known;
   }
 
   /// @name After the store was restored from an older copy
   ///
-  /// What others had written to it since they write again. Until then objects
-  /// that the copy lacks are kept: they stand for leafs that live and for what
-  /// operators want.
+  /// Writers repeat what they had written after the copy was made. Until then
+  /// objects that the copy lacks are kept, because they describe running leafs
+  /// and the configuration that operators want.
   /// @{
   static constexpr std::chrono::milliseconds kWrittenAgainWithin{3000};
 
-  /// When `settle()` is due; nothing where all objects are of this era.
+  /// When `settle()` is due; nothing if all objects belong to the current era.
   [[nodiscard]] std::optional<TimePoint> settles_at() const noexcept {
     return this->settle_at;
   }
-  /// Drops what was not written again. @return Its removals.
+  /// Removes the objects that were not written again. @return The removals.
   [[nodiscard]] std::vector<store::WatchBatch::Event> settle();
   /// @}
 
-  /// All that is known.
+  /// The complete content.
   [[nodiscard]] Update whole() const;
 
-  /// What has changed after `version`, or the whole where that is too long ago.
-  /// A fleet whose daemons all ask a watcher for the whole fills its link for
-  /// seconds, and none of them gets an answer in time.
+  /// The changes after `version`, or the complete content if that version is
+  /// too old. If all daemons of a fleet asked a watcher for the complete
+  /// content, the answers would saturate its link for seconds and none would
+  /// arrive in time.
   [[nodiscard]] Update since(store::Version version) const;
 
  private:
-  /// Changes that are kept for those who fell behind: some tens of seconds.
+  /// Updates kept for peers that lag; they cover some tens of seconds.
   static constexpr std::size_t kMostRecent = 64;
 
   [[nodiscard]] bool is_of_earlier_era(
--- a/ibismux/feed/feed_observer.h
+++ b/ibismux/feed/feed_observer.h
@@ -6,18 +6,21 @@
 
 namespace ibismux::feed {
 
-/// Is told what a collection of the store holds. Called on the feed's loop.
+/// Receives the content of a collection of the store and its changes. Called on
+/// the feed's event loop.
 class FeedObserver {
  public:
   virtual ~FeedObserver() = default;
   virtual void on_listing(const store::Listing& listing) = 0;
   virtual void on_change(const store::WatchBatch::Event& event) = 0;
-  /// Nobody can tell what the store holds now; what was told grows old.
+  /// Neither the store nor a peer provides updates: the known state may become
+  /// out of date.
   virtual void on_lost() {}
-  /// Somebody can again, and what is told from here on is new.
+  /// Updates are available again; what is reported from now on is current.
   virtual void on_regained() {}
-  /// The store has answered somebody without a break since then: what it holds
-  /// is all that was written and not removed.
+  /// The store has answered some daemon without interruption since the given
+  /// time, so that no entry expired because of an outage: an object that is
+  /// missing from it was removed.
   virtual void on_unbroken_since(TimePoint) {}
 };
 
--- a/ibismux/feed/feed_relay.cc
+++ b/ibismux/feed/feed_relay.cc
@@ -19,20 +19,23 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kTick{250};
-// After its start: how long a daemon that has a watcher in its zone waits for
-// what that one finds in the store, before it begins to watch by itself.
+// How long a daemon that has a watcher in its zone waits after its start for
+// that watcher's updates before it starts to watch the store itself.
 constexpr milliseconds kWatcherTime{1800};
-// While a fleet starts, many daemons take themselves for the first of their
-// zone, having met few others yet. Longer than views take to spread.
+// How long a daemon must have been a watcher before it reads the store early.
+// While a fleet starts, many daemons know few others yet and consider
+// themselves the first of their zone. This is longer than membership views take
+// to spread.
 constexpr milliseconds kSteadyWatcher{1500};
-// How often a daemon tells its children how fresh its knowledge is.
+// How often a daemon sends its children the age of its last store contact.
 constexpr milliseconds kBeat{500};
-// A whole collection may take that long over a narrow link.
+// Timeout of a pull. A complete collection may take this long over a slow link.
 constexpr milliseconds kPullTime{1000};
-// With no contact newer than this the store counts as lost, as in an outage.
+// If the last contact is older than this, the store counts as lost, as in an
+// outage.
 constexpr milliseconds kLostAfter{2000};
-// Peers that are asked at a time. One that has been cut off answers nothing for
-// `kPullTime`; the next ones must not wait for it.
+// Number of concurrent pulls. An unreachable peer delays its pull by
+// `kPullTime`, and pulls from other peers must not wait for it.
 constexpr std::size_t kMostAsked = 3;
 
 }  // namespace
@@ -113,11 +116,11 @@
 }
 
 void FeedRelay::on_store_contact() {
-  // A store that answers for one collection says nothing of another one whose
-  // last call failed: that one is as old as before. Counted as a contact, peers
-  // would rely on an old configuration for as long as the other collection's
-  // watch goes on. Notice where this is missing: where the store turns away a
-  // part of the hosts, some refuse routes five seconds after they were added.
+  // An answer for one collection says nothing about another collection whose
+  // last call failed and which is still out of date. If the answer counted as a
+  // contact, peers would rely on an old configuration for as long as the other
+  // collection's watch continues: when the store rejects a part of the hosts,
+  // some of them would still refuse routes five seconds after their addition.
   bool all_current = true;
   for (const auto& feed : this->feeds) {
     if (feed->lost()) {
@@ -183,8 +186,8 @@
       this->feeds.begin(), this->feeds.end(),
       [](const auto& feed) { return feed->mirror().version() > 0; });
   if (all_known && this->choice.source() == Source::kPeers) {
-    // Peers bring everything: nothing is to be read. Read all the same, the
-    // store is called by each of hundreds of daemons that start together.
+    // Peers have sent all collections, so nothing has to be read. Otherwise
+    // each of hundreds of daemons that start together would call the store.
     this->started = true;
     this->in_use = Source::kPeers;
     return;
@@ -261,7 +264,8 @@
 
 void FeedRelay::pass_on(const Update& update) {
   PushMessage message = this->empty_push();
-  // A listing is long, and most children have it; those that lack it ask.
+  // A listing is large and most children already have its content; the others
+  // pull it.
   if (!update.whole) {
     message.updates.push_back(update);
   }
@@ -281,8 +285,9 @@
   const TimePoint now = Clock::now();
   this->contact.on_peer(message.age, message.unbroken, now);
   if (this->in_use == Source::kPeers && message.age < kLostAfter) {
-    // Before the updates: what is missing from them may be a living leaf whose
-    // entry lapsed while nobody reached the store.
+    // Reported before the updates are applied, because an entry that is missing
+    // from them may have expired while nobody reached the store, although its
+    // leaf is running.
     for (const auto& feed : this->feeds) {
       feed->report_regained("peers");
     }
@@ -299,9 +304,9 @@
         return feed && feed->mirror().version() < row.second;
       });
   if (behind) {
-    // A fresh contact of a peer whose updates this daemon lacks says nothing of
-    // what it has: counted, it would go on with an old configuration for as
-    // long as its questions fail.
+    // A peer's recent contact doesn't confirm the state of this daemon while it
+    // lacks the peer's updates. If it counted, this daemon would use an old
+    // configuration for as long as its pulls fail.
     this->pull(from);
   } else {
     this->choice.on_peer_contact(message.age, now);
--- a/ibismux/feed/feed_relay.h
+++ b/ibismux/feed/feed_relay.h
@@ -22,8 +22,8 @@
 
 class CollectionFeed;
 
-/// Passes updates from the store on between daemons, and switches this daemon's
-/// feeds between the store and its peers.
+/// Relays the store's updates between daemons, and switches this daemon's feeds
+/// between the store and its peers.
 ///
 /// Belongs to one event loop, which is also the network's; not thread safe.
 class FeedRelay : public std::enable_shared_from_this<FeedRelay> {
@@ -31,34 +31,35 @@
   using Feeds = std::vector<std::shared_ptr<CollectionFeed>>;
 
   /// Precondition: neither the network nor the feeds have started. `loop`,
-  /// `network` and `log` outlive this.
+  /// `network` and `log` must outlive the relay.
   FeedRelay(boost::asio::io_context& loop,
             peer::PeerNetwork& network,
             SourceSettings settings,
             Feeds feeds,
             eventlog::EventLog& log);
 
-  /// Registers handlers and listeners, and begins. Called once, before the
-  /// network starts.
-  /// @param patience How long peers may bring all that is to be known before
+  /// Registers handlers and listeners, and starts. Must be called once, before
+  /// the network starts.
+  /// @param patience How long to wait for peers to send all collections before
   /// this daemon reads the store itself.
   void start(Duration patience);
 
-  /// The members have changed.
+  /// The membership has changed.
   void on_view(const membership::MembershipView& view);
 
-  /// The store answered this daemon. It counts as a contact where no collection
-  /// is lost; one that is lost is tried again at once.
+  /// The store answered this daemon. The answer counts as a contact only if no
+  /// collection is lost; lost collections are tried again at once.
   void on_store_contact();
 
   /// A call of this daemon to the store failed.
   void on_store_failure();
 
-  /// Contacts may be older than they seem: peers are asked, and the store is
-  /// read, as if there had been none.
+  /// Discards the recorded contacts, which may be older than they seem: peers
+  /// are asked and the store is read as if there had been no contact.
   void invalidate();
 
-  /// Whether some peer of the zone is to follow the store for this daemon.
+  /// Whether a peer of the zone is expected to follow the store for this
+  /// daemon.
   [[nodiscard]] bool relies_on_watcher() const;
 
   /// Whether this daemon follows the store itself.
@@ -70,15 +71,15 @@
   void register_handlers();
   void tick();
   void start_feeds();
-  /// Whether this daemon has been a watcher long enough to read the store
-  /// before its patience ends.
+  /// Whether this daemon has been a watcher for long enough to read the store
+  /// before the wait for peers ends.
   [[nodiscard]] bool watches_early(TimePoint now);
   void switch_source();
   void pass_on(const Update& update);
   void send_beat();
   void take(const std::string& from, PushMessage message);
   void on_push(const std::string& from, PushMessage message);
-  /// The feeds learn since when the store has answered without a break.
+  /// Tells the feeds since when the store has answered without interruption.
   void share_contact();
   void pull(std::string from);
   [[nodiscard]] static Task<void> run_pull(std::shared_ptr<FeedRelay> self,
@@ -87,7 +88,7 @@
       std::shared_ptr<FeedRelay> self,
       std::string payload);
   [[nodiscard]] KnownVersions known() const;
-  /// What is known here and how old it is, without updates.
+  /// A push with the known versions and their age, without updates.
   [[nodiscard]] PushMessage empty_push() const;
   [[nodiscard]] CollectionFeed* find(const std::string& collection) const;
   void notify_children(const PushMessage& message);
@@ -99,10 +100,10 @@
   SourceChoice choice;
   Source in_use = Source::kStore;
   StoreContact contact;
-  std::set<std::string> asked;  ///< Peers that have not answered yet.
-  TimePoint read_at;  ///< When the feeds start, unless peers bring all before.
+  std::set<std::string> asked;  ///< Peers with a pending pull.
+  TimePoint read_at;  ///< When the feeds start unless peers have sent all.
   bool started = false;
-  bool joined = false;  ///< Others have been met.
+  bool joined = false;  ///< Whether other members are known.
   TimePoint watcher_since = TimePoint::max();
   TimePoint next_beat;
   http::Timer timer;
--- a/ibismux/feed/messages.h
+++ b/ibismux/feed/messages.h
@@ -11,29 +11,30 @@
 
 namespace ibismux::feed {
 
-/// What has changed in a collection, or all that it holds.
+/// Changes of a collection, or its complete content.
 struct Update {
   std::string collection;
-  store::Version since = 0;  ///< Where `whole` is not set: changes after this.
+  /// The events are the changes after this version. Unused if `whole` is set.
+  store::Version since = 0;
   store::Version version = 0;
   bool whole = false;
   std::vector<store::WatchBatch::Event> events;
 };
 
-/// Up to which version of the store each collection is known.
+/// The store version up to which each collection is known.
 using KnownVersions = std::map<std::string, store::Version, std::less<>>;
 
-/// kFeedPush, and the answer to kFeedPull.
+/// Payload of kFeedPush and of the response to kFeedPull.
 struct PushMessage {
-  Duration age{0};  ///< Of the sender's last contact with the store.
-  /// For how long the store has answered somebody without a break, as far as
-  /// the sender knows; at least `age` where it knows of any answer.
+  Duration age{0};  ///< Time since the sender's last contact with the store.
+  /// For how long the store has answered some daemon without interruption, as
+  /// far as the sender knows; at least `age` if it knows of any answer.
   Duration unbroken{0};
   KnownVersions known;
   std::vector<Update> updates;
 };
 
-/// kFeedPull.
+/// Payload of kFeedPull: the versions that the sender has.
 struct PullMessage {
   KnownVersions have;
 };
--- a/ibismux/feed/source_choice.cc
+++ b/ibismux/feed/source_choice.cc
@@ -17,7 +17,7 @@
 
 void SourceChoice::on_view(const membership::MembershipView& view) {
   this->tree.rebuild(view);
-  // A daemon without a place in its own view has not met the others yet.
+  // A daemon that is not part of its own view doesn't know the others yet.
   this->watches = this->tree.watches() || !view.joined;
 }
 
@@ -29,7 +29,7 @@
 
 void SourceChoice::on_peer_contact(Duration age, TimePoint now) {
   this->heard_at = now;
-  // A peer's clock plays no part: it says how long ago, not when.
+  // Peers report ages instead of times, so their clocks don't matter.
   this->confirmed = std::max(this->confirmed, now - age);
   const TimePoint until = now - age + this->settings.fresh_for;
   if (until < now) {
@@ -80,7 +80,7 @@
 
 bool SourceChoice::should_ask(TimePoint now) const noexcept {
   const Duration age = this->age(now);
-  // A watcher reaches the store itself, each second.
+  // A watcher contacts the store itself every second.
   const bool is_served = this->watches || now <= this->pushed_until;
   return age >=
          (is_served ? this->settings.fresh_for : this->settings.ask_from_age);
@@ -106,7 +106,7 @@
 
 Duration SourceChoice::help_after(TimePoint now) const noexcept {
   const SourceSettings& times = this->settings;
-  // The ranks before these are the watchers' and the first helpers'.
+  // The lower ranks belong to the watchers and the first helpers.
   const std::size_t before = times.watchers + times.first_helpers;
   if (this->tree.zone_rank() < before) {
     return times.first_help_after;
@@ -140,9 +140,9 @@
   if (this->best) {
     return this->best;
   }
-  // Watchers and helpers by turns: where the store turns away a part of the
-  // hosts, all watchers may be among them, and this daemon too; then only those
-  // that have helped themselves know more.
+  // Alternates between watchers and helpers. If the store rejects a part of the
+  // hosts, these may include this daemon and all watchers; then only the
+  // helpers that have read the store have newer updates.
   const auto& behind = this->tree.behind_watchers();
   const std::size_t helping = std::min(behind.size(), this->helpers(now));
   const std::size_t turn = this->turn++;
--- a/ibismux/feed/source_choice.h
+++ b/ibismux/feed/source_choice.h
@@ -12,64 +12,69 @@
 
 namespace ibismux::feed {
 
-/// Where a daemon's updates from the store come from.
+/// From where a daemon receives the store's updates.
 enum class Source : unsigned char { kStore, kPeers };
 
-/// Pace of the choice of a source.
+/// Parameters of `SourceChoice`.
 struct SourceSettings {
-  /// Daemons of each zone that follow the store itself, whatever happens. Where
-  /// one is lost, the watchers of other zones are asked until the next one of
-  /// the zone has taken its place.
+  /// Number of daemons of each zone that always follow the store itself. If one
+  /// fails, the watchers of other zones are asked until the next daemon of the
+  /// zone has replaced it.
   std::size_t watchers = 1;
-  /// Most daemons that one passes updates on to; a zone of more has a further
-  /// level.
+  /// Maximum number of daemons to which one daemon relays updates. Larger zones
+  /// have more levels.
   std::size_t fan_out = 32;
-  /// Updates of peers whose last contact with the store is older than this are
-  /// not relied on: others are asked. Watchers reach the store each second at
-  /// least, and pass it on twice a second.
+  /// Peers whose last contact with the store is older than this are not relied
+  /// on, and others are asked. Watchers contact the store at least once a
+  /// second and report it twice a second.
   std::chrono::milliseconds fresh_for{1800};
-  /// From this age on daemons read the store themselves. What leaves must take
-  /// no new work after three seconds.
+  /// Age of the last contact from which on daemons read the store themselves. A
+  /// leaf that is leaving must get no new work after three seconds.
   std::chrono::milliseconds self_help_after{2300};
-  /// Not all of them at the same moment: the first ones behind the watchers of
-  /// each zone begin sooner, since the others can learn from them; the rest of
-  /// a zone follows within `help_spread`. No longer than that: where the store
-  /// turns away a part of the hosts and many changes come, asking peers takes
-  /// seconds, and a host that waits for its turn in place of reading the store
-  /// refuses routes that were added five seconds ago. With a tick of a quarter
-  /// of a second and the reading itself, the last one is done before three.
+  /// The daemons of a zone don't all read at the same time. The
+  /// `first_helpers` daemons after the watchers read at `first_help_after`, so
+  /// that the others can get updates from them. The rest of the zone follows
+  /// within `help_spread` after `self_help_after`. A longer spread does harm:
+  /// when the store rejects a part of the hosts and many changes arrive, asking
+  /// peers takes seconds, and a host that waits for its turn instead of reading
+  /// the store refuses routes that were added five seconds ago. With a tick of
+  /// 250 ms and the duration of the read, the last daemon finishes before three
+  /// seconds.
   std::size_t first_helpers = 2;
   std::chrono::milliseconds first_help_after{1800};
   std::chrono::milliseconds help_spread{200};
-  /// A daemon that no peer has told anything for so long can't rely on helpers.
+  /// A daemon that has heard from no peer for this long doesn't wait for its
+  /// turn in the spread.
   std::chrono::milliseconds alone_after{1000};
-  /// While a watcher reaches the store, its last contact is no older than
-  /// `usual_age` when it sends something, which it does each `usual_pause`.
-  /// Once that fails, others are asked at once: at `fresh_for` only one of them
-  /// could be asked before the store counted as lost, and where the store
-  /// turned away half of the hosts, leafs that had left were called up to four
-  /// seconds later.
+  /// A watcher that reaches the store sends a message at least every
+  /// `usual_pause`, with a last contact no older than `usual_age`. As soon as
+  /// this fails, other peers are asked. If this happened only at `fresh_for`,
+  /// there would be time for one question before the store counts as lost, and
+  /// when the store rejects half of the hosts, leafs that have left would be
+  /// called for up to four more seconds.
   std::chrono::milliseconds usual_age{1200};
   std::chrono::milliseconds usual_pause{900};
-  /// And asked again when the contact that they told of is as old as this.
+  /// Age of the last contact that other peers reported, from which on peers are
+  /// asked again.
   std::chrono::milliseconds ask_from_age{600};
-  /// Between two questions to peers while there is no fresh contact.
+  /// Interval between questions to peers while there is no recent contact.
   std::chrono::milliseconds ask_interval{300};
-  /// Fresh contacts must come from peers for so long before the daemon stops
-  /// following the store. One that has never followed it relies on the first:
-  /// of a fleet that starts at once each would begin to watch otherwise, and
-  /// leave off a moment later.
+  /// How long peers must report recent contacts before the daemon stops
+  /// following the store. A daemon that has never followed it relies on the
+  /// first recent contact: otherwise every daemon of a fleet that starts at the
+  /// same time would start a watch and stop it shortly afterwards.
   std::chrono::milliseconds trust_after{1500};
 };
 
 /// Decides whether a daemon follows the store itself or relies on its peers,
-/// and whom it asks when they stop sending.
+/// and which peer it asks when they stop sending.
 ///
-/// Where every daemon of a large fleet watches the store, its calls and their
-/// price grow with the fleet times the changes. A few watchers in each zone and
-/// one message to each of the others bring the same updates.
+/// If every daemon of a large fleet watched the store, the number and the cost
+/// of the calls would grow with the number of daemons times the number of
+/// changes. Some watchers in each zone and one message to each other daemon
+/// distribute the same updates.
 ///
-/// No sockets, no clock of its own; not thread safe.
+/// Uses no sockets and no clock. Not thread safe.
 class SourceChoice {
  public:
   SourceChoice(SourceSettings settings, TimePoint now);
@@ -79,31 +84,34 @@
   void on_view(const membership::MembershipView& view);
   /// The store answered this daemon.
   void on_store_contact(TimePoint now);
-  /// A peer told how old its last contact with the store is, however old.
+  /// A peer reported the age of its last contact with the store, of any age.
   void on_peer_contact(Duration age, TimePoint now);
-  /// So did the daemon that pushes updates to this one.
+  /// The daemon that pushes updates to this one reported the age of its last
+  /// contact.
   void on_push(Duration age, TimePoint now);
-  /// A peer answered a question. Where its contact is fresh it is asked first
-  /// the next time.
+  /// A peer answered a question. If its contact is no older than `usual_age`,
+  /// it is asked first the next time.
   void on_answer(const std::string& peer, Duration age);
-  /// It didn't, or not in time.
+  /// A peer did not answer a question in time.
   void on_no_answer(const std::string& peer);
-  /// Contacts may be older than they seem: the host was stalled.
+  /// Discards the recorded contacts, which may be older than they seem because
+  /// the host was suspended.
   void invalidate(TimePoint now) noexcept;
-  /// To be called some times a second. @return Whom to ask for updates, if any.
+  /// To be called several times a second. @return The peer to ask for updates,
+  /// if any.
   [[nodiscard]] std::optional<std::string> tick(TimePoint now);
   /// @}
 
   /// @name Outputs
   /// @{
   [[nodiscard]] Source source() const noexcept { return this->current; }
-  /// One of the few that follow the store for their zone.
+  /// Whether this daemon is one of those that follow the store for their zone.
   [[nodiscard]] bool is_watcher() const noexcept { return this->watches; }
-  /// Whom updates are passed on to.
+  /// The daemons to which updates are relayed.
   [[nodiscard]] const std::vector<std::string>& children() const noexcept {
     return this->tree.children();
   }
-  /// How old the last contact with the store is, whoever had it.
+  /// Age of the last contact with the store, of this daemon or a peer.
   [[nodiscard]] Duration age(TimePoint now) const noexcept {
     return now - this->confirmed;
   }
@@ -111,11 +119,11 @@
 
  private:
   void choose(TimePoint now);
-  /// How old the last contact may get before this daemon reads the store.
+  /// Age of the last contact from which on this daemon reads the store.
   [[nodiscard]] Duration help_after(TimePoint now) const noexcept;
-  /// How many of the members behind the watchers may read the store by now.
+  /// Number of members after the watchers that may have read the store by now.
   [[nodiscard]] std::size_t helpers(TimePoint now) const noexcept;
-  /// Whether what is known may soon be too old.
+  /// Whether the known state may soon be too old.
   [[nodiscard]] bool should_ask(TimePoint now) const noexcept;
   [[nodiscard]] std::optional<std::string> next_to_ask(TimePoint now);
 
@@ -123,16 +131,16 @@
   membership::SpreadTree tree;
   bool watches = true;
   Source current = Source::kStore;
-  TimePoint confirmed;       ///< Of the last contact with the store.
-  TimePoint by_peers_until;  ///< Words of peers are fresh up to here.
-  TimePoint trusted_from = TimePoint::max();  ///< Since when without a gap.
-  TimePoint heard_at;                         ///< Any peer told of its contact.
-  bool has_followed = false;                  ///< The store, or peers.
-  bool relies_on_none =
-      false;  ///< Since `invalidate()`, until a fresh contact.
+  TimePoint confirmed;       ///< Time of the last contact with the store.
+  TimePoint by_peers_until;  ///< Contacts of peers count as recent until then.
+  TimePoint trusted_from =
+      TimePoint::max();         ///< Since when peers report recent contacts.
+  TimePoint heard_at;           ///< When a peer last reported a contact.
+  bool has_followed = false;    ///< Whether a source was ever in use.
+  bool relies_on_none = false;  ///< From `invalidate()` until a recent contact.
   TimePoint next_question;
-  TimePoint pushed_until;           ///< Fresh contacts were pushed, up to here.
-  std::optional<std::string> best;  ///< Whose last answer was a usual one.
+  TimePoint pushed_until;  ///< Pushed contacts count as recent until then.
+  std::optional<std::string> best;  ///< Its last answer had a recent contact.
   std::size_t turn = 0;
 };
 
--- a/ibismux/feed/store_contact.cc
+++ b/ibismux/feed/store_contact.cc
@@ -22,9 +22,10 @@
   if (is_older_than_break || their_last + kLongestPause < this->since) {
     return;
   }
-  // Where both overlap, answers came without a break from the earlier start on:
-  // those that the one missed, the other got. A start soon after the last
-  // answer that is known here is that of the peer, which had lost its own way.
+  // If both periods overlap, the store answered without interruption since the
+  // earlier start: one daemon received the answers that the other one missed. A
+  // peer's period that starts soon after the last known answer only shows that
+  // the peer had lost its own connection.
   const bool is_anew =
       this->broken_at || their_since > this->last + kLongestPause;
   this->since = is_anew ? their_since : std::min(this->since, their_since);
--- a/ibismux/feed/store_contact.h
+++ b/ibismux/feed/store_contact.h
@@ -8,23 +8,24 @@
 
 namespace ibismux::feed {
 
-/// Since when the platform's store has answered without a break, by all
-/// contacts that this daemon and its peers had with it.
+/// Tracks since when the platform's store has answered without interruption,
+/// from the contacts that this daemon and its peers had with it.
 ///
-/// Entries lapse in the store while it is away, so what is missing from it
-/// right after its return may belong to living leafs. A daemon that merely lost
-/// its own way to the store sees the same gap, but nothing has lapsed: each
-/// entry that is missing then was removed. Only the others can tell it which of
-/// the two it was. Notice where this is missing: where the store turns away the
-/// watcher of a zone, the other daemons of the zone go on calling leafs that
-/// have left, for two seconds longer than they may.
+/// Entries expire in the store during an outage, so entries that are missing
+/// right after it may belong to running leafs. A daemon that only lost its own
+/// connection to the store sees the same gap, but no entry has expired: each
+/// missing entry was removed. Only its peers can tell it which of the two cases
+/// applies. Without this distinction, when the store rejects the watcher of a
+/// zone, the other daemons of the zone call leafs that have left for two
+/// seconds longer than allowed.
 ///
-/// Not thread safe. The times given never go back.
+/// Not thread safe. The times passed in must not decrease.
 class StoreContact {
  public:
-  /// A longer pause between two answers counts as a break. Watchers make a call
-  /// each second, which takes some tenths of one where the store is slow;
-  /// entries lapse after three missed heartbeats, several seconds.
+  /// A longer pause between two answers counts as an interruption. Watchers
+  /// make a call every second, which takes some tenths of a second if the store
+  /// is slow. Entries expire after three missed heartbeats, which is several
+  /// seconds.
   static constexpr std::chrono::milliseconds kLongestPause{1500};
 
   explicit StoreContact(TimePoint now) noexcept
@@ -33,24 +34,25 @@
   /// The store answered this daemon.
   void on_answer(TimePoint now) noexcept;
 
-  /// A call of this daemon to the store failed, or its host stalled. The next
-  /// answer begins anew, unless a peer has had one since.
+  /// A call of this daemon to the store failed, or its host was suspended. The
+  /// next answer starts a new period, unless a peer has had an answer since.
   void on_break(TimePoint now) noexcept { this->broken_at = now; }
 
-  /// The contacts of a peer, its own and those of which it was told.
-  /// @param age Of the last answer that it knows of.
-  /// @param unbroken For how long there were answers without a break, up to
-  /// now.
+  /// A peer reported its contacts, including those that other peers reported to
+  /// it.
+  /// @param age Time since the last answer known to the peer.
+  /// @param unbroken For how long the store has answered without interruption
+  /// up to now.
   void on_peer(Duration age, Duration unbroken, TimePoint now) noexcept;
 
-  /// When the answers that have come without a break began.
+  /// Start of the current period of answers without interruption.
   [[nodiscard]] TimePoint unbroken_since() const noexcept {
     return this->since;
   }
 
  private:
-  TimePoint last;   ///< The latest answer that is known of.
-  TimePoint since;  ///< The first one of those without a break before `last`.
+  TimePoint last;   ///< Time of the latest known answer.
+  TimePoint since;  ///< Start of the period that contains `last`.
   std::optional<TimePoint> broken_at;
 };
 
--- a/thrift/feed.thrift
+++ b/thrift/feed.thrift
@@ -1,8 +1,8 @@
-/// How daemons pass on what they read from the platform's store.
-/// docs/design/feeds.md says why.
+/// Messages in which daemons relay what they read from the platform's store, so
+/// that only a few of them call it. See docs/design/feeds.md.
 namespace cpp ibismux.feed.wire
 
-/// One object, or its removal.
+/// One changed object, or its removal.
 struct Item {
   1: string name
   2: i64 version
@@ -10,34 +10,35 @@
   4: bool removed
 }
 
-/// A collection's changes between two versions of the store, or all of it.
+/// A collection's changes between two versions of the store, or its complete
+/// content.
 struct Update {
   1: string collection
-  /// Changes after this version; not used where `whole` is set.
+  /// The items are the changes after this version. Unused if `whole` is set.
   2: i64 since
   3: i64 version
   4: bool whole
   5: list<Item> items
 }
 
-/// Up to which version the sender knows a collection.
+/// The store version up to which the sender knows a collection.
 struct Known {
   1: string collection
   2: i64 version
 }
 
-/// kFeedPush, and the answer to kFeedPull: updates, and how old the sender's last
-/// contact with the store is, in milliseconds.
+/// Payload of kFeedPush and of the response to kFeedPull: updates, and the time
+/// since the sender's last contact with the store in milliseconds.
 struct Push {
   1: i64 age_ms
   2: list<Known> known
   3: list<Update> updates
-  /// For how long the store has answered somebody without a break, in
+  /// For how long the store has answered some daemon without interruption, in
   /// milliseconds, as far as the sender knows.
   4: i64 unbroken_ms
 }
 
-/// kFeedPull: "what is newer than this?"
+/// Payload of kFeedPull: asks for everything newer than these versions.
 struct Pull {
   1: list<Known> have
 }
