--- a/ibismux/feed/collection_feed.cc
+++ b/ibismux/feed/collection_feed.cc
@@ -19,21 +19,21 @@
 
 // Deadline of a listing. A listing of some hundred entries takes milliseconds;
 // a listing that exceeds this deadline is tried again on a new connection.
-constexpr milliseconds kListTime{1500};
+constexpr milliseconds kListTimeout{1500};
 // Pause after a single failed call, of which only the answer may have been
 // lost.
 constexpr milliseconds kFirstPause{50};
 // Pause after further failures, which mean that the store is down. The daemon's
 // cheap checks detect its recovery and restart the feed.
-constexpr milliseconds kLongestPause{4000};
+constexpr milliseconds kMaxPause{4000};
 // Pauses between reads while every watch finds its history compacted; without a
 // pause this would cost two calls per round trip. The first read follows at
 // once.
-constexpr milliseconds kFirstGonePause{50};
-constexpr milliseconds kLongestGonePause{800};
+constexpr milliseconds kMinCompactedPause{50};
+constexpr milliseconds kMaxCompactedPause{800};
 // Longest pause before the first successful read. Until then every request is
 // refused.
-constexpr milliseconds kLongestFirstPause{200};
+constexpr milliseconds kMaxInitialPause{200};
 
 Update update_of(const std::string& collection, store::Listing listing) {
   Update update;
@@ -101,16 +101,16 @@
                                std::uint64_t round) {
   // Results are stored in variables because GCC 12 miscompiles a co_await in
   // the condition of a loop.
-  bool whole = false;
+  bool is_complete = false;
   while (self->round == round) {
-    if (whole) {
-      const bool goes_on = co_await follow(self);
-      whole = goes_on;
+    if (is_complete) {
+      const bool is_answered = co_await follow(self);
+      is_complete = is_answered;
       continue;
     }
-    const bool done = co_await read_all(self);
-    whole = done;
-    if (done && std::exchange(self->first, false)) {
+    const bool succeeded = co_await read_all(self);
+    is_complete = succeeded;
+    if (succeeded && std::exchange(self->is_first_read, false)) {
       co_await pause(self, self->settings.first_pause);
       if (self->round == round) {
         const Duration longer = self->listeners.wait_for_peers();
@@ -122,7 +122,7 @@
 
 Task<bool> CollectionFeed::read_all(std::shared_ptr<CollectionFeed> self) {
   const bool may_be_stale = self->known.version() == 0;
-  const TimePoint deadline = Clock::now() + kListTime;
+  const TimePoint deadline = Clock::now() + kListTimeout;
   auto reading = may_be_stale
                      ? self->store.stale_list(self->known.name(), deadline)
                      : self->store.list(self->known.name(), deadline);
@@ -171,13 +171,13 @@
     self->log.event(eventlog::Weight::kBelief, "store_history_gone")
         .with("collection", self->known.name())
         .with("version", store::version_text(since));
-    const Duration time = self->gone_pause;
-    self->gone_pause =
-        std::clamp<Duration>(time * 2, kFirstGonePause, kLongestGonePause);
+    const Duration time = self->compacted_pause;
+    self->compacted_pause =
+        std::clamp<Duration>(time * 2, kMinCompactedPause, kMaxCompactedPause);
     co_await pause(self, time);
     co_return false;
   }
-  self->gone_pause = Duration::zero();
+  self->compacted_pause = Duration::zero();
   const bool changed = !batch->events.empty();
   self->take(update_of(self->known.name(), since, *std::move(batch)));
   if (changed) {
@@ -194,26 +194,26 @@
 
 void CollectionFeed::take(Update update) {
   const store::Version before = this->known.version();
-  const auto fresh = this->known.take(std::move(update), Clock::now());
-  if (!fresh) {
+  const auto applied = this->known.take(std::move(update), Clock::now());
+  if (!applied) {
     return;
   }
-  if (before != 0 && store::era_of(fresh->version) > store::era_of(before)) {
+  if (before != 0 && store::era_of(applied->version) > store::era_of(before)) {
     this->log.event(eventlog::Weight::kBelief, "store_restored")
         .with("collection", this->known.name())
-        .with("version", store::version_text(fresh->version))
+        .with("version", store::version_text(applied->version))
         .with("before", store::version_text(before))
-        .with("changes", fresh->events.size());
+        .with("changes", applied->events.size());
   }
   this->schedule_settlement();
-  if (fresh->whole) {
-    this->observer.on_listing(listing_of(*fresh));
+  if (applied->whole) {
+    this->observer.on_listing(listing_of(*applied));
   } else {
-    for (const store::WatchBatch::Event& event : fresh->events) {
+    for (const store::WatchBatch::Event& event : applied->events) {
       this->observer.on_change(event);
     }
   }
-  this->listeners.on_update(*fresh);
+  this->listeners.on_update(*applied);
 }
 
 void CollectionFeed::schedule_settlement() {
@@ -280,7 +280,7 @@
       .with("kind", error_entry(error.kind).name)
       .with("message", error.message);
   const Duration longest =
-      this->known.version() == 0 ? kLongestFirstPause : kLongestPause;
+      this->known.version() == 0 ? kMaxInitialPause : kMaxPause;
   const Duration time = this->failures == 0 ? kFirstPause : longest;
   ++this->failures;
   return error.retry_after
--- a/ibismux/feed/collection_feed.h
+++ b/ibismux/feed/collection_feed.h
@@ -132,13 +132,13 @@
 
   CollectionMirror known;
   bool is_lost = false;
-  bool first = true;
+  bool is_first_read = true;
   bool current = false;
   std::uint64_t round = 0;
   std::uint32_t failures = 0;
   /// Pause before the next read that follows a watch whose history was
   /// compacted.
-  Duration gone_pause{0};
+  Duration compacted_pause{0};
   http::Timer pause_timer;
   http::Timer settle_timer;
 };
--- a/ibismux/feed/collection_mirror.cc
+++ b/ibismux/feed/collection_mirror.cc
@@ -77,7 +77,7 @@
     return;
   }
   this->recent.push_back(update);
-  if (this->recent.size() > kMostRecent) {
+  if (this->recent.size() > kMaxRecentUpdates) {
     this->recent.pop_front();
   }
 }
--- a/ibismux/feed/collection_mirror.h
+++ b/ibismux/feed/collection_mirror.h
@@ -69,7 +69,7 @@
 
  private:
   /// Updates kept for peers that lag; they cover some tens of seconds.
-  static constexpr std::size_t kMostRecent = 64;
+  static constexpr std::size_t kMaxRecentUpdates = 64;
 
   [[nodiscard]] bool is_of_earlier_era(
       const store::StoredObject& object) const noexcept {
--- a/ibismux/feed/feed_relay.cc
+++ b/ibismux/feed/feed_relay.cc
@@ -18,25 +18,25 @@
 using peer::MessageKind;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kTick{250};
+constexpr milliseconds kTickInterval{250};
 // How long a daemon that has a watcher in its zone waits after its start for
 // that watcher's updates before it starts to watch the store itself.
-constexpr milliseconds kWatcherTime{1800};
+constexpr milliseconds kWatcherWait{1800};
 // How long a daemon must have been a watcher before it reads the store early.
 // While a fleet starts, many daemons know few others yet and consider
 // themselves the first of their zone. This is longer than membership views take
 // to spread.
-constexpr milliseconds kSteadyWatcher{1500};
+constexpr milliseconds kWatcherStabilityTime{1500};
 // How often a daemon sends its children the age of its last store contact.
-constexpr milliseconds kBeat{500};
+constexpr milliseconds kHeartbeatInterval{500};
 // Timeout of a pull. A complete collection may take this long over a slow link.
-constexpr milliseconds kPullTime{1000};
+constexpr milliseconds kPullTimeout{1000};
 // If the last contact is older than this, the store counts as lost, as in an
 // outage.
-constexpr milliseconds kLostAfter{2000};
+constexpr milliseconds kMaxContactAge{2000};
 // Number of concurrent pulls. An unreachable peer delays its pull by
-// `kPullTime`, and pulls from other peers must not wait for it.
-constexpr std::size_t kMostAsked = 3;
+// `kPullTimeout`, and pulls from other peers must not wait for it.
+constexpr std::size_t kMaxPendingPulls = 3;
 
 }  // namespace
 
@@ -51,18 +51,18 @@
       feeds(std::move(feeds)),
       choice(settings, Clock::now()),
       contact(Clock::now()),
-      next_beat(Clock::now()),
+      next_heartbeat(Clock::now()),
       timer(loop.get_executor()) {}
 
-void FeedRelay::start(Duration patience) {
-  this->read_at = Clock::now() + patience;
+void FeedRelay::start(Duration max_peer_wait) {
+  this->start_feeds_at = Clock::now() + max_peer_wait;
   this->register_handlers();
   const std::weak_ptr<FeedRelay> weak = this->weak_from_this();
   for (const auto& feed : this->feeds) {
     feed->set_listeners({.on_update =
                              [weak](const Update& update) {
                                if (const auto self = weak.lock()) {
-                                 self->pass_on(update);
+                                 self->relay_update(update);
                                }
                              },
                          .on_store_contact =
@@ -80,7 +80,7 @@
                          .wait_for_peers = [weak]() -> Duration {
                            const auto self = weak.lock();
                            return self && self->relies_on_watcher()
-                                      ? kWatcherTime
+                                      ? kWatcherWait
                                       : milliseconds(0);
                          }});
   }
@@ -111,7 +111,7 @@
 }
 
 void FeedRelay::on_view(const membership::MembershipView& view) {
-  this->joined = view.joined && view.serving() > 1;
+  this->knows_others = view.joined && view.serving() > 1;
   this->choice.on_view(view);
 }
 
@@ -148,7 +148,7 @@
 }
 
 bool FeedRelay::relies_on_watcher() const {
-  return this->joined && !this->choice.is_watcher();
+  return this->knows_others && !this->choice.is_watcher();
 }
 
 void FeedRelay::invalidate() {
@@ -159,21 +159,22 @@
 
 void FeedRelay::tick() {
   const TimePoint now = Clock::now();
-  if (const auto whom = this->choice.tick(now)) {
-    this->pull(*whom);
+  if (const auto peer_to_ask = this->choice.tick(now)) {
+    this->pull(*peer_to_ask);
   }
   this->start_feeds();
   this->switch_source();
-  if (this->in_use == Source::kPeers && this->choice.age(now) > kLostAfter) {
+  if (this->in_use == Source::kPeers &&
+      this->choice.age(now) > kMaxContactAge) {
     for (const auto& feed : this->feeds) {
       feed->report_lost("no fresh contact by peers");
     }
   }
-  if (now >= this->next_beat) {
-    this->next_beat = now + kBeat;
-    this->send_beat();
+  if (now >= this->next_heartbeat) {
+    this->next_heartbeat = now + kHeartbeatInterval;
+    this->send_heartbeat();
   }
-  this->timer.expires_after(kTick);
+  this->timer.expires_after(kTickInterval);
   http::await_timer(this->timer, this->weak_from_this(), &FeedRelay::tick);
 }
 
@@ -192,7 +193,7 @@
     this->in_use = Source::kPeers;
     return;
   }
-  if (now < this->read_at && !this->watches_early(now)) {
+  if (now < this->start_feeds_at && !this->may_read_early(now)) {
     return;
   }
   this->started = true;
@@ -201,13 +202,13 @@
   }
 }
 
-bool FeedRelay::watches_early(TimePoint now) {
-  if (!this->joined || !this->choice.is_watcher()) {
+bool FeedRelay::may_read_early(TimePoint now) {
+  if (!this->knows_others || !this->choice.is_watcher()) {
     this->watcher_since = TimePoint::max();
   } else if (this->watcher_since == TimePoint::max()) {
     this->watcher_since = now;
   }
-  return now - std::min(now, this->watcher_since) >= kSteadyWatcher;
+  return now - std::min(now, this->watcher_since) >= kWatcherStabilityTime;
 }
 
 void FeedRelay::switch_source() {
@@ -262,7 +263,7 @@
   }
 }
 
-void FeedRelay::pass_on(const Update& update) {
+void FeedRelay::relay_update(const Update& update) {
   PushMessage message = this->empty_push();
   // A listing is large and most children already have its content; the others
   // pull it.
@@ -272,19 +273,19 @@
   this->notify_children(message);
 }
 
-void FeedRelay::send_beat() {
+void FeedRelay::send_heartbeat() {
   this->notify_children(this->empty_push());
 }
 
 void FeedRelay::on_push(const std::string& from, PushMessage message) {
   this->choice.on_push(message.age, Clock::now());
-  this->take(from, std::move(message));
+  this->apply_message(from, std::move(message));
 }
 
-void FeedRelay::take(const std::string& from, PushMessage message) {
+void FeedRelay::apply_message(const std::string& from, PushMessage message) {
   const TimePoint now = Clock::now();
   this->contact.on_peer(message.age, message.unbroken, now);
-  if (this->in_use == Source::kPeers && message.age < kLostAfter) {
+  if (this->in_use == Source::kPeers && message.age < kMaxContactAge) {
     // Reported before the updates are applied, because an entry that is missing
     // from them may have expired while nobody reached the store, although its
     // leaf is running.
@@ -298,12 +299,12 @@
       feed->take(std::move(update));
     }
   }
-  const bool behind = std::any_of(
+  const bool lacks_updates = std::any_of(
       message.known.begin(), message.known.end(), [this](const auto& row) {
         const CollectionFeed* feed = this->find(row.first);
         return feed && feed->mirror().version() < row.second;
       });
-  if (behind) {
+  if (lacks_updates) {
     // A peer's recent contact doesn't confirm the state of this daemon while it
     // lacks the peer's updates. If it counted, this daemon would use an old
     // configuration for as long as its pulls fail.
@@ -314,7 +315,8 @@
 }
 
 void FeedRelay::pull(std::string from) {
-  if (this->asked.size() >= kMostAsked || !this->asked.insert(from).second) {
+  if (this->pending_pulls.size() >= kMaxPendingPulls ||
+      !this->pending_pulls.insert(from).second) {
     return;
   }
   asio::co_spawn(this->loop,
@@ -328,8 +330,8 @@
   std::string target = from;
   auto response = co_await self->network.request(
       std::move(target), MessageKind::kFeedPull, std::move(payload),
-      Clock::now() + kPullTime);
-  self->asked.erase(from);
+      Clock::now() + kPullTimeout);
+  self->pending_pulls.erase(from);
   if (!response) {
     self->choice.on_no_answer(from);
     self->log.event(eventlog::Weight::kBelief, "feed_pull_failed")
@@ -345,7 +347,7 @@
     co_return;
   }
   self->choice.on_answer(from, message->age);
-  self->take(from, *std::move(message));
+  self->apply_message(from, *std::move(message));
 }
 
 Task<Result<std::string>> FeedRelay::answer_pull(
--- a/ibismux/feed/feed_relay.h
+++ b/ibismux/feed/feed_relay.h
@@ -42,7 +42,7 @@
   /// the network starts.
   /// @param patience How long to wait for peers to send all collections before
   /// this daemon reads the store itself.
-  void start(Duration patience);
+  void start(Duration max_peer_wait);
 
   /// The membership has changed.
   void on_view(const membership::MembershipView& view);
@@ -73,11 +73,11 @@
   void start_feeds();
   /// Whether this daemon has been a watcher for long enough to read the store
   /// before the wait for peers ends.
-  [[nodiscard]] bool watches_early(TimePoint now);
+  [[nodiscard]] bool may_read_early(TimePoint now);
   void switch_source();
-  void pass_on(const Update& update);
-  void send_beat();
-  void take(const std::string& from, PushMessage message);
+  void relay_update(const Update& update);
+  void send_heartbeat();
+  void apply_message(const std::string& from, PushMessage message);
   void on_push(const std::string& from, PushMessage message);
   /// Tells the feeds since when the store has answered without interruption.
   void share_contact();
@@ -100,12 +100,13 @@
   SourceChoice choice;
   Source in_use = Source::kStore;
   StoreContact contact;
-  std::set<std::string> asked;  ///< Peers with a pending pull.
-  TimePoint read_at;  ///< When the feeds start unless peers have sent all.
+  std::set<std::string> pending_pulls;  ///< By peer.
+  /// When the feeds start unless peers have sent all collections before.
+  TimePoint start_feeds_at;
   bool started = false;
-  bool joined = false;  ///< Whether other members are known.
+  bool knows_others = false;
   TimePoint watcher_since = TimePoint::max();
-  TimePoint next_beat;
+  TimePoint next_heartbeat;
   http::Timer timer;
 };
 
--- a/ibismux/feed/source_choice.cc
+++ b/ibismux/feed/source_choice.cc
@@ -9,11 +9,11 @@
 SourceChoice::SourceChoice(SourceSettings settings, TimePoint now)
     : settings(settings),
       tree(settings.watchers, settings.fan_out),
-      confirmed(now - settings.self_help_after),
-      by_peers_until(now),
-      heard_at(now),
+      last_contact(now - settings.read_after),
+      peers_recent_until(now),
+      last_peer_report(now),
       next_question(now),
-      pushed_until(now) {}
+      pushes_recent_until(now) {}
 
 void SourceChoice::on_view(const membership::MembershipView& view) {
   this->tree.rebuild(view);
@@ -22,51 +22,51 @@
 }
 
 void SourceChoice::on_store_contact(TimePoint now) {
-  this->confirmed = std::max(this->confirmed, now);
-  this->has_followed = true;
-  this->relies_on_none = false;
+  this->last_contact = std::max(this->last_contact, now);
+  this->has_had_source = true;
+  this->has_invalid_contacts = false;
 }
 
 void SourceChoice::on_peer_contact(Duration age, TimePoint now) {
-  this->heard_at = now;
+  this->last_peer_report = now;
   // Peers report ages instead of times, so their clocks don't matter.
-  this->confirmed = std::max(this->confirmed, now - age);
-  const TimePoint until = now - age + this->settings.fresh_for;
+  this->last_contact = std::max(this->last_contact, now - age);
+  const TimePoint until = now - age + this->settings.max_contact_age;
   if (until < now) {
     return;
   }
-  this->relies_on_none = false;
-  if (this->by_peers_until < now) {
-    this->trusted_from = now;
+  this->has_invalid_contacts = false;
+  if (this->peers_recent_until < now) {
+    this->peers_recent_since = now;
   }
-  this->by_peers_until = std::max(this->by_peers_until, until);
+  this->peers_recent_until = std::max(this->peers_recent_until, until);
 }
 
 void SourceChoice::on_push(Duration age, TimePoint now) {
-  if (age <= this->settings.usual_age) {
-    this->pushed_until = now + this->settings.usual_pause;
+  if (age <= this->settings.expected_contact_age) {
+    this->pushes_recent_until = now + this->settings.expected_push_interval;
   }
 }
 
 void SourceChoice::on_answer(const std::string& peer, Duration age) {
-  if (age <= this->settings.usual_age) {
-    this->best = peer;
+  if (age <= this->settings.expected_contact_age) {
+    this->preferred_peer = peer;
   } else {
     this->on_no_answer(peer);
   }
 }
 
 void SourceChoice::on_no_answer(const std::string& peer) {
-  if (this->best == peer) {
-    this->best.reset();
+  if (this->preferred_peer == peer) {
+    this->preferred_peer.reset();
   }
 }
 
 void SourceChoice::invalidate(TimePoint now) noexcept {
-  this->confirmed =
-      std::min(this->confirmed, now - this->settings.self_help_after);
-  this->by_peers_until = std::min(this->by_peers_until, now);
-  this->relies_on_none = true;
+  this->last_contact =
+      std::min(this->last_contact, now - this->settings.read_after);
+  this->peers_recent_until = std::min(this->peers_recent_until, now);
+  this->has_invalid_contacts = true;
 }
 
 std::optional<std::string> SourceChoice::tick(TimePoint now) {
@@ -81,9 +81,9 @@
 bool SourceChoice::should_ask(TimePoint now) const noexcept {
   const Duration age = this->age(now);
   // A watcher contacts the store itself every second.
-  const bool is_served = this->watches || now <= this->pushed_until;
-  return age >=
-         (is_served ? this->settings.fresh_for : this->settings.ask_from_age);
+  const bool is_served = this->watches || now <= this->pushes_recent_until;
+  return age >= (is_served ? this->settings.max_contact_age
+                           : this->settings.ask_after_age);
 }
 
 void SourceChoice::choose(TimePoint now) {
@@ -91,45 +91,47 @@
     this->current = Source::kStore;
     return;
   }
-  const bool fresh = now <= this->by_peers_until;
+  const bool recent = now <= this->peers_recent_until;
   if (this->current == Source::kStore) {
-    const bool trusted = now - this->trusted_from >= this->settings.trust_after;
-    if (fresh && (trusted || !this->has_followed)) {
+    const bool trusted =
+        now - this->peers_recent_since >= this->settings.peer_trust_delay;
+    if (recent && (trusted || !this->has_had_source)) {
       this->current = Source::kPeers;
-      this->has_followed = true;
+      this->has_had_source = true;
     }
-  } else if (this->age(now) >= this->help_after(now)) {
+  } else if (this->age(now) >= this->own_read_after(now)) {
     this->current = Source::kStore;
-    this->trusted_from = TimePoint::max();
+    this->peers_recent_since = TimePoint::max();
   }
 }
 
-Duration SourceChoice::help_after(TimePoint now) const noexcept {
+Duration SourceChoice::own_read_after(TimePoint now) const noexcept {
   const SourceSettings& times = this->settings;
-  // The lower ranks belong to the watchers and the first helpers.
-  const std::size_t before = times.watchers + times.first_helpers;
-  if (this->tree.zone_rank() < before) {
-    return times.first_help_after;
+  // The lower ranks belong to the watchers and the early readers.
+  const std::size_t first_regular_rank = times.watchers + times.early_readers;
+  if (this->tree.zone_rank() < first_regular_rank) {
+    return times.early_read_after;
   }
-  const bool alone =
-      this->relies_on_none || now - this->heard_at > times.alone_after;
-  const double place = static_cast<double>(this->tree.zone_rank() - before) /
-                       static_cast<double>(this->tree.zone_size());
-  return times.self_help_after +
-         (alone ? Duration::zero() : scaled(times.help_spread, place));
+  const bool isolated = this->has_invalid_contacts ||
+                        now - this->last_peer_report > times.isolated_after;
+  const double place =
+      static_cast<double>(this->tree.zone_rank() - first_regular_rank) /
+      static_cast<double>(this->tree.zone_size());
+  return times.read_after +
+         (isolated ? Duration::zero() : scaled(times.read_spread, place));
 }
 
-std::size_t SourceChoice::helpers(TimePoint now) const noexcept {
+std::size_t SourceChoice::allowed_readers(TimePoint now) const noexcept {
   const SourceSettings& times = this->settings;
-  const Duration beyond = this->age(now) - times.self_help_after;
-  if (beyond < Duration::zero()) {
-    return this->tree.zones() * times.first_helpers;
+  const Duration elapsed = this->age(now) - times.read_after;
+  if (elapsed < Duration::zero()) {
+    return this->tree.zones() * times.early_readers;
   }
-  const double part =
-      std::min(1.0, to_seconds(beyond) / to_seconds(times.help_spread));
+  const double share =
+      std::min(1.0, to_seconds(elapsed) / to_seconds(times.read_spread));
   const auto all = static_cast<double>(this->tree.behind_watchers().size());
-  return std::max(this->tree.zones() * times.first_helpers,
-                  static_cast<std::size_t>(part * all));
+  return std::max(this->tree.zones() * times.early_readers,
+                  static_cast<std::size_t>(share * all));
 }
 
 std::optional<std::string> SourceChoice::next_to_ask(TimePoint now) {
@@ -137,19 +139,21 @@
   if (watchers.empty()) {
     return std::nullopt;
   }
-  if (this->best) {
-    return this->best;
+  if (this->preferred_peer) {
+    return this->preferred_peer;
   }
-  // Alternates between watchers and helpers. If the store rejects a part of the
-  // hosts, these may include this daemon and all watchers; then only the
-  // helpers that have read the store have newer updates.
-  const auto& behind = this->tree.behind_watchers();
-  const std::size_t helping = std::min(behind.size(), this->helpers(now));
-  const std::size_t turn = this->turn++;
-  if (turn % 2 == 0 || helping == 0) {
-    return watchers[(turn / 2) % watchers.size()];
+  // Alternates between watchers and daemons that may have read the store
+  // themselves. If the store rejects a part of the hosts, these may include
+  // this daemon and all watchers; then only the other readers have newer
+  // updates.
+  const auto& followers = this->tree.behind_watchers();
+  const std::size_t readers =
+      std::min(followers.size(), this->allowed_readers(now));
+  const std::size_t round_robin_index = this->round_robin_index++;
+  if (round_robin_index % 2 == 0 || readers == 0) {
+    return watchers[(round_robin_index / 2) % watchers.size()];
   }
-  return behind[(turn / 2) % helping];
+  return followers[(round_robin_index / 2) % readers];
 }
 
 }  // namespace ibismux::feed
--- a/ibismux/feed/store_contact.cc
+++ b/ibismux/feed/store_contact.cc
@@ -5,10 +5,10 @@
 namespace ibismux::feed {
 
 void StoreContact::on_answer(TimePoint now) noexcept {
-  if (this->broken_at || now - this->last > kLongestPause) {
+  if (this->interrupted_at || now - this->last > kLongestPause) {
     this->since = now;
   }
-  this->broken_at.reset();
+  this->interrupted_at.reset();
   this->last = std::max(this->last, now);
 }
 
@@ -18,7 +18,7 @@
   const TimePoint their_last = now - age;
   const TimePoint their_since = now - unbroken;
   const bool is_older_than_break =
-      this->broken_at && their_last <= *this->broken_at;
+      this->interrupted_at && their_last <= *this->interrupted_at;
   if (is_older_than_break || their_last + kLongestPause < this->since) {
     return;
   }
@@ -26,10 +26,11 @@
   // earlier start: one daemon received the answers that the other one missed. A
   // peer's period that starts soon after the last known answer only shows that
   // the peer had lost its own connection.
-  const bool is_anew =
-      this->broken_at || their_since > this->last + kLongestPause;
-  this->since = is_anew ? their_since : std::min(this->since, their_since);
-  this->broken_at.reset();
+  const bool starts_new_period =
+      this->interrupted_at || their_since > this->last + kLongestPause;
+  this->since =
+      starts_new_period ? their_since : std::min(this->since, their_since);
+  this->interrupted_at.reset();
   this->last = std::max(this->last, their_last);
 }
 
--- a/ibismux/feed/store_contact.h
+++ b/ibismux/feed/store_contact.h
@@ -29,14 +29,14 @@
   static constexpr std::chrono::milliseconds kLongestPause{1500};
 
   explicit StoreContact(TimePoint now) noexcept
-      : last(now), since(now), broken_at(now) {}
+      : last(now), since(now), interrupted_at(now) {}
 
   /// The store answered this daemon.
   void on_answer(TimePoint now) noexcept;
 
   /// A call of this daemon to the store failed, or its host was suspended. The
   /// next answer starts a new period, unless a peer has had an answer since.
-  void on_break(TimePoint now) noexcept { this->broken_at = now; }
+  void on_break(TimePoint now) noexcept { this->interrupted_at = now; }
 
   /// A peer reported its contacts, including those that other peers reported to
   /// it.
@@ -53,7 +53,7 @@
  private:
   TimePoint last;   ///< Time of the latest known answer.
   TimePoint since;  ///< Start of the period that contains `last`.
-  std::optional<TimePoint> broken_at;
+  std::optional<TimePoint> interrupted_at;
 };
 
 }  // namespace ibismux::feed
--- a/tests/feed/collection_feed_test.cc
+++ b/tests/feed/collection_feed_test.cc
@@ -17,7 +17,7 @@
 
 constexpr std::chrono::seconds kLimit{20};
 
-/// Remembers the objects that it was told of.
+/// Records the objects and events that the feed reports.
 class Observer : public FeedObserver {
  public:
   void on_listing(const store::Listing& listing) override {
@@ -43,14 +43,14 @@
   int returns = 0;
 };
 
-/// A store whose watches can be made to wait for ever, as at a server that was
-/// silent when they came, or to be cut.
-class MoodyStore : public MemoryObjectStore {
+/// A store with injected faults: failed reads, and watches that fail, are never
+/// answered, or find their history compacted.
+class FaultyStore : public MemoryObjectStore {
  public:
   Task<Result<store::Listing>> list(std::string collection,
                                     TimePoint deadline) override {
     ++this->lists;
-    if (this->down) {
+    if (this->fails_lists) {
       co_return fail(ErrorKind::kPlatformUnavailable, "down");
     }
     auto listing =
@@ -69,13 +69,13 @@
       store::Version since,
       std::chrono::milliseconds wait) override {
     ++this->watches;
-    if (this->deaf) {
+    if (this->never_answers_watches) {
       boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor,
                                       kLimit);
       co_await timer.async_wait(
           boost::asio::as_tuple(boost::asio::use_awaitable));
     }
-    if (this->forgets) {
+    if (this->compacts_history) {
       boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor,
                                       std::chrono::milliseconds(4));
       co_await timer.async_wait(
@@ -85,8 +85,8 @@
       gone.compacted = true;
       co_return gone;
     }
-    if (this->cuts > 0) {
-      --this->cuts;
+    if (this->watch_failures > 0) {
+      --this->watch_failures;
       co_return fail(ErrorKind::kPlatformUnavailable, "cut");
     }
     auto batch =
@@ -94,10 +94,10 @@
     co_return batch;
   }
 
-  bool deaf = false;
-  bool down = false;     ///< Current readings fail.
-  bool forgets = false;  ///< Watches find their history gone.
-  int cuts = 0;
+  bool never_answers_watches = false;
+  bool fails_lists = false;       ///< Reads of the current state fail.
+  bool compacts_history = false;  ///< Watches find their history compacted.
+  int watch_failures = 0;
   int watches = 0;
   int lists = 0;
   int stale_lists = 0;
@@ -106,7 +106,7 @@
 struct Fixture {
   boost::asio::io_context loop;
   eventlog::EventLog log{this->loop, {.descriptor = -1}};
-  MoodyStore store;
+  FaultyStore store;
   Observer observer;
   std::shared_ptr<CollectionFeed> feed;
 
@@ -136,7 +136,7 @@
     own.run();
   }
 
-  /// A peer brings a change of "main".
+  /// Applies a change of "main" that a peer has sent.
   void take_from_peer(const std::string& value) {
     const store::Version at = this->feed->mirror().version();
     this->feed->take({"config",
@@ -153,7 +153,7 @@
   std::map<std::string, store::Version> versions;
 };
 
-Test(collection_feed, reads_the_whole_and_follows_changes) {
+Test(collection_feed, reads_the_collection_and_follows_changes) {
   Fixture fixture;
   cr_assert(fixture.run_until(
       [&] { return fixture.observer.objects["main"] == "1"; }));
@@ -163,30 +163,30 @@
   cr_assert(fixture.observer.listings == 1);
 }
 
-// Guards against a watch that is taken up after its history was dropped.
-Test(collection_feed, a_watch_that_was_cut_is_followed_by_a_reading) {
+// Guards against resuming a watch after the store has dropped its history.
+Test(collection_feed, a_failed_watch_is_followed_by_a_read) {
   Fixture fixture;
   cr_assert(fixture.run_until([&] { return fixture.store.watches > 0; }));
-  fixture.store.cuts = 1;
+  fixture.store.watch_failures = 1;
   const int before = fixture.store.lists;
   cr_assert(fixture.run_until([&] { return fixture.observer.returns == 1; }));
   cr_assert(fixture.store.lists == before + 1);
   cr_assert(fixture.observer.losses == 1);
 }
 
-// Guards against a watch that reached a silent store and is never answered.
-Test(collection_feed, restarting_does_not_wait_for_a_deaf_watch) {
+// Guards against waiting for a watch that a stalled store never answers.
+Test(collection_feed, a_restart_does_not_wait_for_a_stalled_watch) {
   Fixture fixture;
-  fixture.store.deaf = true;
+  fixture.store.never_answers_watches = true;
   cr_assert(fixture.run_until([&] { return fixture.store.watches > 0; }));
   fixture.put("main", "2");
-  fixture.store.deaf = false;
+  fixture.store.never_answers_watches = false;
   fixture.feed->restart();
   cr_assert(fixture.run_until(
       [&] { return fixture.observer.objects["main"] == "2"; }));
 }
 
-Test(collection_feed, a_suspended_feed_calls_no_more) {
+Test(collection_feed, a_suspended_feed_stops_calling_the_store) {
   Fixture fixture;
   cr_assert(fixture.run_until([&] { return fixture.store.watches > 0; }));
   fixture.feed->suspend();
@@ -197,11 +197,11 @@
   cr_assert(fixture.store.watches <= before + 1);
 }
 
-// Guards against an old first reading that passes for a contact.
-Test(collection_feed, a_first_reading_is_no_contact_until_the_watch_begins) {
+// Guards against counting a stale first read as a contact with the store.
+Test(collection_feed, a_first_read_is_no_contact_until_the_watch_starts) {
   boost::asio::io_context loop;
   eventlog::EventLog log(loop, {.descriptor = -1});
-  MoodyStore store;
+  FaultyStore store;
   Observer observer;
   FeedSettings settings;
   settings.first_pause = std::chrono::milliseconds(50);
@@ -222,7 +222,7 @@
   feed->suspend();
 }
 
-Test(collection_feed, a_reading_again_is_never_an_old_one) {
+Test(collection_feed, a_repeated_read_is_never_stale) {
   Fixture fixture;
   cr_assert(fixture.run_until([&] { return fixture.store.watches > 0; }));
   fixture.feed->restart();
@@ -230,15 +230,15 @@
   cr_assert(fixture.store.stale_lists == 1);
 }
 
-/// Runs the loop for a time in which a feed that doesn't wait calls the store
-/// many times.
+/// Runs the loop for long enough that a feed without pauses would call the
+/// store many times.
 void run_for_a_while(Fixture& fixture) {
   const TimePoint end = Clock::now() + std::chrono::milliseconds(300);
   fixture.run_until([end] { return Clock::now() >= end; });
 }
 
-// The load: hundreds of daemons that start together, each of which would watch.
-Test(collection_feed, a_follower_leaves_the_first_watch_to_its_watcher) {
+// Guards against a watch by each of hundreds of daemons that start together.
+Test(collection_feed, a_follower_waits_for_its_watcher_before_the_first_watch) {
   Fixture fixture;
   fixture.feed->set_listeners({.wait_for_peers = [] { return kLimit; }});
   cr_assert(fixture.run_until([&] { return fixture.observer.listings == 1; }));
@@ -248,21 +248,22 @@
   cr_assert(fixture.observer.objects["main"] == "9");
 }
 
-// The load: hundreds of daemons that each try a store which is down.
-Test(collection_feed, after_two_failures_the_store_is_left_alone) {
+// Guards against frequent calls by each of hundreds of daemons to a store that
+// is down.
+Test(collection_feed, after_two_failures_the_feed_pauses) {
   Fixture fixture;
   cr_assert(fixture.run_until([&] { return fixture.store.watches > 0; }));
-  fixture.store.down = true;
-  fixture.store.cuts = 1;
+  fixture.store.fails_lists = true;
+  fixture.store.watch_failures = 1;
   cr_assert(fixture.run_until([&] { return fixture.store.lists == 1; }));
   run_for_a_while(fixture);
   cr_assert(fixture.store.lists == 1, "%d", fixture.store.lists);
-  fixture.store.down = false;
+  fixture.store.fails_lists = false;
   fixture.feed->retry_now();
   cr_assert(fixture.run_until([&] { return fixture.observer.returns == 1; }));
 }
 
-Test(collection_feed, updates_of_peers_are_taken_as_those_of_the_store) {
+Test(collection_feed, updates_from_peers_are_applied_like_those_of_the_store) {
   Fixture fixture;
   cr_assert(fixture.run_until([&] { return fixture.observer.listings == 1; }));
   fixture.feed->suspend();
@@ -270,17 +271,17 @@
   cr_assert(fixture.observer.objects["main"] == "9");
 }
 
-// Guards against a store without history that is called without pause.
-Test(collection_feed, a_history_that_is_gone_again_and_again_costs_few_calls) {
+// Guards against calling a store without history in a tight loop.
+Test(collection_feed, a_repeatedly_compacted_history_costs_few_calls) {
   Fixture fixture;
-  fixture.store.forgets = true;
+  fixture.store.compacts_history = true;
   cr_assert(fixture.run_until([&] { return fixture.store.watches > 2; }));
   const TimePoint end = Clock::now() + std::chrono::seconds(1);
   while (Clock::now() < end) {
     fixture.loop.run_one_for(std::chrono::milliseconds(20));
   }
   cr_assert(fixture.store.watches < 10);
-  fixture.store.forgets = false;
+  fixture.store.compacts_history = false;
   fixture.put("main", "2");
   cr_assert(fixture.run_until(
       [&] { return fixture.observer.objects["main"] == "2"; }));
--- a/tests/feed/collection_mirror_test.cc
+++ b/tests/feed/collection_mirror_test.cc
@@ -26,7 +26,7 @@
   return mirror.take(std::move(update), Clock::now());
 }
 
-Test(collection_mirror, changes_add_up) {
+Test(collection_mirror, changes_are_applied_to_the_listing) {
   CollectionMirror mirror("leafs");
   cr_assert(take(mirror, whole(5, {event("a", 4), event("b", 5)})).has_value());
   cr_assert(take(mirror, change(5, 7, {event("a", 6, true), event("c", 7)}))
@@ -37,8 +37,8 @@
   cr_assert(all.events[1].object.name == "c");
 }
 
-// Guards against old updates that replace newer ones.
-Test(collection_mirror, older_news_changes_nothing) {
+// Guards against old updates that overwrite newer ones.
+Test(collection_mirror, older_updates_are_ignored) {
   CollectionMirror mirror("leafs");
   cr_assert(take(mirror, whole(9, {event("b", 8)})).has_value());
   cr_assert(!take(mirror, change(5, 7, {event("a", 6)})).has_value());
@@ -47,7 +47,7 @@
   cr_assert(mirror.whole().events.size() == 1);
 }
 
-Test(collection_mirror, news_with_a_gap_before_it_is_left_alone) {
+Test(collection_mirror, updates_after_a_gap_are_ignored) {
   CollectionMirror mirror("leafs");
   cr_assert(take(mirror, whole(5, {})).has_value());
   const Update later = change(6, 7, {event("a", 7)});
@@ -56,7 +56,7 @@
   cr_assert(mirror.version() == 5);
 }
 
-Test(collection_mirror, news_that_overlaps_is_taken) {
+Test(collection_mirror, overlapping_updates_are_applied) {
   CollectionMirror mirror("leafs");
   cr_assert(take(mirror, whole(5, {event("a", 5)})).has_value());
   cr_assert(
@@ -68,8 +68,9 @@
   return store::make_version(1, revision);
 }
 
-// Guards against a configuration passed over, as the store's revisions fell.
-Test(collection_mirror, a_restored_store_is_newer_whatever_its_revision) {
+// Guards against ignoring a restored configuration because the store's
+// revisions have decreased.
+Test(collection_mirror, a_restored_store_is_newer_at_any_revision) {
   CollectionMirror mirror("leafs");
   take(mirror, whole(87, {event("a", 80)}));
   cr_assert(take(mirror, whole(restored(84), {event("a", restored(84))}))
@@ -78,8 +79,8 @@
   cr_assert(!take(mirror, whole(99, {event("a", 99)})).has_value());
 }
 
-// Guards against leafs that vanish until their entries are written again.
-Test(collection_mirror, what_a_restored_store_lacks_is_kept_for_a_while) {
+// Guards against removing leafs until their entries are written again.
+Test(collection_mirror, objects_missing_after_a_restore_are_kept_for_a_while) {
   CollectionMirror mirror("leafs");
   take(mirror, whole(87, {event("a", 80), event("b", 81), event("c", 82)}));
   const auto fresh =
@@ -94,7 +95,7 @@
   cr_assert(mirror.whole().events.size() == 2);
 }
 
-Test(collection_mirror, a_removal_after_the_restore_holds_at_once) {
+Test(collection_mirror, a_removal_after_a_restore_applies_at_once) {
   CollectionMirror mirror("leafs");
   take(mirror, whole(87, {event("a", 80)}));
   take(mirror, whole(restored(84), {event("a", restored(80))}));
@@ -102,8 +103,9 @@
   cr_assert(mirror.settle().empty());
 }
 
-// Guards against a peer's object of the former era that stays for ever.
-Test(collection_mirror, what_a_peer_still_holds_settles_too) {
+// Guards against keeping an object of an earlier era, received from a peer, for
+// ever.
+Test(collection_mirror, objects_of_an_earlier_era_from_a_peer_settle_too) {
   CollectionMirror mirror("leafs");
   take(mirror, whole(restored(84), {event("a", 80)}));
   cr_assert(mirror.settles_at().has_value());
--- a/tests/feed/feed_relay_test.cc
+++ b/tests/feed/feed_relay_test.cc
@@ -1,6 +1,4 @@
-// Daemons of a fleet that starts, and which of them call the store.
-//
-// The load: a large fleet that starts at once.
+// Which daemons call the store while a large fleet starts at the same time.
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/io_context.hpp>
@@ -26,8 +24,9 @@
 
 using ibismux::testing::MemoryObjectStore;
 
-// Longer than any test takes: nobody reads the store for want of patience.
-constexpr std::chrono::minutes kPatience{10};
+// Longer than any test takes, so that no daemon reads the store because the
+// wait for its peers has ended.
+constexpr std::chrono::minutes kMaxPeerWait{10};
 constexpr int kHosts = 12;
 
 class CountingStore : public MemoryObjectStore {
@@ -116,7 +115,7 @@
 
   void start() {
     for (const auto& [name, daemon] : this->daemons) {
-      daemon->relay->start(kPatience);
+      daemon->relay->start(kMaxPeerWait);
       this->view.self = name;
       daemon->relay->on_view(this->view);
     }
@@ -133,19 +132,20 @@
                        });
   }
 
-  [[nodiscard]] int callers() const {
+  [[nodiscard]] int calling_daemons() const {
     return static_cast<int>(std::count_if(
         this->daemons.begin(), this->daemons.end(),
         [](const auto& row) { return row.second->store.calls > 0; }));
   }
 };
 
-Test(feed_relay, of_a_fleet_that_starts_only_watchers_call_the_store) {
+Test(feed_relay, only_watchers_of_a_starting_fleet_call_the_store) {
   Fixture fixture;
   fixture.start();
   cr_assert(fixture.run_until([&] { return fixture.all_know(); }));
-  cr_assert(fixture.callers() == 1);
-  // All follow their peers a moment later, and still nobody else calls.
+  cr_assert(fixture.calling_daemons() == 1);
+  // Shortly afterwards all others follow their peers, and still only the
+  // watcher has called the store.
   const auto follows = [](const auto& row) {
     return row.second->relay->follows_store();
   };
@@ -153,17 +153,17 @@
     return std::count_if(fixture.daemons.begin(), fixture.daemons.end(),
                          follows) == 1;
   }));
-  cr_assert(fixture.callers() == 1);
+  cr_assert(fixture.calling_daemons() == 1);
 }
 
-/// A store that turns away the calls for one collection.
-class HalfStore : public MemoryObjectStore {
+/// A store that can reject the listings of one collection.
+class RejectingStore : public MemoryObjectStore {
  public:
   Task<Result<store::Listing>> list(std::string collection,
                                     TimePoint deadline) override {
     if (collection == "config") {
       ++this->config_lists;
-      if (this->turns_away) {
+      if (this->rejects) {
         co_return fail(ErrorKind::kPlatformUnavailable, "turned away");
       }
     }
@@ -172,11 +172,11 @@
     co_return listing;
   }
 
-  bool turns_away = true;
+  bool rejects = true;
   int config_lists = 0;
 };
 
-struct ContactCount : FeedObserver {
+struct ContactCounter : FeedObserver {
   void on_listing(const store::Listing&) override {}
   void on_change(const store::WatchBatch::Event&) override {}
   void on_lost() override {}
@@ -186,13 +186,13 @@
   int contacts = 0;
 };
 
-// Guards against an answer for one collection that passes for one for all.
-Test(feed_relay, a_store_that_answers_for_one_collection_only_is_no_contact) {
+// Guards against counting an answer for one collection as a contact for all.
+Test(feed_relay, an_answer_for_only_one_collection_is_no_contact) {
   boost::asio::io_context loop;
   tests::FakePeerCluster cluster;
   eventlog::EventLog log(loop, {.descriptor = -1});
-  HalfStore store;
-  ContactCount observer;
+  RejectingStore store;
+  ContactCounter observer;
   FeedSettings settings;
   settings.change_pause = std::chrono::milliseconds(0);
   const auto feed = [&](const std::string& collection) {
@@ -214,12 +214,12 @@
   put("servers", "i-1");
   relay->start(Duration::zero());
   cr_assert(run_until([&] { return feeds[1]->is_current(); }));
-  // The watch of the leafs is answered; the configuration is still lost.
+  // The watch of "servers" is answered, and "config" is still lost.
   put("servers", "i-2");
   cr_assert(run_until([&] { return feeds[1]->mirror().version() >= 2; }));
   cr_assert(feeds[0]->lost());
   cr_assert(observer.contacts == 0);
-  store.turns_away = false;
+  store.rejects = false;
   put("servers", "i-3");
   cr_assert(run_until([&] { return observer.contacts > 0; }));
   cr_assert(!feeds[0]->lost());
--- a/tests/feed/messages_test.cc
+++ b/tests/feed/messages_test.cc
@@ -5,7 +5,7 @@
 namespace ibismux::feed {
 namespace {
 
-Test(feed_messages, a_push_passes_through_its_payload) {
+Test(feed_messages, a_push_survives_encoding_and_decoding) {
   PushMessage message;
   message.age = std::chrono::milliseconds(250);
   message.unbroken = std::chrono::milliseconds(61'000);
@@ -27,7 +27,7 @@
   cr_assert(read->updates[0].events[1].removed);
 }
 
-Test(feed_messages, a_pull_passes_through_its_payload) {
+Test(feed_messages, a_pull_survives_encoding_and_decoding) {
   const auto read = decode_pull(encode(PullMessage{{{"config", 7}}}));
   cr_assert(read.has_value() && read->have.at("config") == 7);
 }
--- a/tests/feed/source_choice_test.cc
+++ b/tests/feed/source_choice_test.cc
@@ -23,12 +23,13 @@
   return view;
 }
 
-/// A daemon that isn't a watcher, whose peers brought fresh words for a while.
+/// A daemon that isn't a watcher and whose peers have reported recent contacts
+/// for three seconds.
 struct Fixture {
   TimePoint now = Clock::now();
   SourceChoice choice{{}, this->now};
   int asked = 0;
-  std::set<std::string> whom;
+  std::set<std::string> asked_peers;
 
   explicit Fixture(int hosts = 77) {
     for (int i = 0; i < hosts; ++i) {
@@ -40,22 +41,22 @@
     this->run(milliseconds(3000), true);
   }
 
-  void run(milliseconds time, bool peers_speak) {
+  void run(milliseconds time, bool peers_push) {
     for (const TimePoint end = this->now + time; this->now < end;) {
       this->now += kStep;
-      if (peers_speak) {
+      if (peers_push) {
         this->choice.on_push(milliseconds(300), this->now);
         this->choice.on_peer_contact(milliseconds(300), this->now);
       }
       if (const auto peer = this->choice.tick(this->now)) {
         ++this->asked;
-        this->whom.insert(*peer);
+        this->asked_peers.insert(*peer);
       }
     }
   }
 };
 
-// The load: a large fleet whose daemons would each watch the store.
+// Guards against a watch by each daemon of a large fleet.
 Test(source_choice, one_daemon_of_each_zone_follows_the_store) {
   int watchers = 0;
   for (int i = 0; i < 77; ++i) {
@@ -66,18 +67,17 @@
   cr_assert(watchers == 3);
 }
 
-Test(source_choice, fresh_words_of_peers_replace_the_store) {
+Test(source_choice, recent_contacts_of_peers_replace_the_store) {
   Fixture fixture;
   cr_assert(fixture.choice.source() == Source::kPeers);
   cr_assert(fixture.choice.age(fixture.now) < milliseconds(500));
 }
 
-// Guards against waiting for the word of one watcher.
-Test(source_choice,
-     when_the_word_grows_old_others_are_asked_and_then_the_store) {
+// Guards against waiting for the messages of a single watcher.
+Test(source_choice, other_peers_and_then_the_store_are_asked_as_contacts_age) {
   Fixture fixture;
   cr_assert(fixture.asked == 0);
-  // One beat in a row may be lost; two are a sign.
+  // One lost heartbeat is tolerated; two in a row are not.
   fixture.run(milliseconds(900), false);
   cr_assert(fixture.asked == 0);
   fixture.run(milliseconds(800), false);
@@ -85,20 +85,21 @@
   cr_assert(fixture.choice.source() == Source::kPeers);
   fixture.run(milliseconds(400), false);
   cr_assert(fixture.choice.source() == Source::kStore);
-  // Of all zones in turn.
+  // The watchers of all zones are asked in turn.
   fixture.run(milliseconds(1000), false);
-  cr_assert(fixture.whom.size() >= 3);
+  cr_assert(fixture.asked_peers.size() >= 3);
 }
 
-// Guards against asking watchers alone.
-Test(source_choice, others_than_watchers_are_asked_too) {
+// Guards against asking only watchers.
+Test(source_choice, daemons_that_are_not_watchers_are_asked_too) {
   Fixture fixture;
   fixture.run(milliseconds(6000), false);
-  cr_assert(fixture.whom.size() > 6);
+  cr_assert(fixture.asked_peers.size() > 6);
 }
 
-// Guards against asking only once the watcher's words are too old.
-Test(source_choice, old_words_of_the_watcher_are_replaced_in_time) {
+// Guards against asking other peers only after the watcher's last contact has
+// become too old.
+Test(source_choice, an_old_contact_of_the_watcher_is_replaced_in_time) {
   Fixture fixture;
   int answers = 0;
   for (int i = 0; i < 60; ++i) {
@@ -107,7 +108,7 @@
     fixture.choice.on_push(age_of_push, fixture.now);
     fixture.choice.on_peer_contact(age_of_push, fixture.now);
     const auto peer = fixture.choice.tick(fixture.now);
-    // Every third of the others hears from the store.
+    // Every third of the other daemons reaches the store.
     if (peer && (peer->back() - '0') % 3 == 0) {
       ++answers;
       fixture.choice.on_answer(*peer, milliseconds(200));
@@ -118,7 +119,7 @@
     cr_assert(fixture.choice.age(fixture.now) < milliseconds(2200));
     cr_assert(fixture.choice.source() == Source::kPeers);
   }
-  // Once found, it is asked again and again, some times a second.
+  // A peer that reaches the store is asked several times a second.
   cr_assert(answers > 5);
 }
 
@@ -148,7 +149,7 @@
   }
 }
 
-Test(source_choice, the_store_is_left_again_only_after_a_while_of_fresh_words) {
+Test(source_choice, peers_replace_the_store_again_only_after_a_delay) {
   Fixture fixture;
   fixture.run(milliseconds(3000), false);
   cr_assert(fixture.choice.source() == Source::kStore);
@@ -158,8 +159,8 @@
   cr_assert(fixture.choice.source() == Source::kPeers);
 }
 
-// Guards against a contact that seems fresh after a suspension.
-Test(source_choice, after_a_standstill_nothing_heard_before_counts) {
+// Guards against a contact that seems recent after the host was suspended.
+Test(source_choice, after_a_suspension_earlier_contacts_do_not_count) {
   Fixture fixture;
   fixture.choice.invalidate(fixture.now);
   fixture.run(milliseconds(200), false);
@@ -167,7 +168,7 @@
   cr_assert(fixture.choice.source() == Source::kStore);
 }
 
-Test(source_choice, stale_words_of_peers_count_for_nothing) {
+Test(source_choice, old_contacts_of_peers_do_not_count) {
   Fixture fixture;
   for (int i = 0; i < 30; ++i) {
     fixture.choice.on_peer_contact(milliseconds(5000), fixture.now);
@@ -176,8 +177,9 @@
   cr_assert(fixture.choice.source() == Source::kStore);
 }
 
-/// How many daemons of a fleet of `hosts`, all of which hear from peers whose
-/// contact with the store is as old as their own, read the store after `time`.
+/// Number of daemons of a fleet of `hosts` that read the store `time` after the
+/// last contact, if all of them hear from peers whose last contact is as old as
+/// their own.
 int readers_after(milliseconds time, int hosts) {
   int readers = 0;
   for (int i = 0; i < hosts; ++i) {
@@ -197,21 +199,22 @@
   return readers;
 }
 
-// Guards against hosts that wait ever longer for their turn to read the store.
-Test(source_choice, few_read_the_store_first_and_all_a_moment_later) {
+// Guards against hosts that wait too long for their turn to read the store.
+Test(source_choice, few_read_the_store_first_and_all_others_shortly_after) {
   cr_assert(readers_after(milliseconds(1500), 295) == 3);
   cr_assert(readers_after(milliseconds(2200), 295) == 3 * 3);
   cr_assert(readers_after(milliseconds(2400), 295) < 295);
-  // Before a leaf that leaves must take no new work, three seconds after it
-  // said so, with a quarter of a second for the tick and time to read.
+  // A leaf that is leaving must get no new work three seconds after it
+  // announced this. The time before includes 250 ms for the tick and the time
+  // to read.
   cr_assert(readers_after(milliseconds(2600), 295) == 295);
 }
 
-Test(source_choice, a_small_fleet_loses_no_time_by_it) {
+Test(source_choice, the_spread_does_not_delay_a_small_fleet) {
   cr_assert(readers_after(milliseconds(2400), 7) == 7);
 }
 
-// Guards against waiting for the turn of daemons that can't be heard.
+// Guards against waiting for a turn when no peers can be reached.
 Test(source_choice,
      a_daemon_that_hears_from_nobody_does_not_wait_for_its_turn) {
   for (int i = 0; i < 295; ++i) {
@@ -227,8 +230,9 @@
   }
 }
 
-// Those that ask and those that help themselves go through one order.
-Test(source_choice, whoever_helps_itself_first_is_asked_first) {
+// Guards against a different order of the daemons that read the store and of
+// the peers that are asked.
+Test(source_choice, the_first_daemons_to_read_the_store_are_asked_first) {
   Fixture fixture(295);
   fixture.run(milliseconds(2200), false);
   std::set<std::string> first;
@@ -246,12 +250,12 @@
     }
   }
   cr_assert(first.size() == 9);
-  for (const std::string& peer : fixture.whom) {
+  for (const std::string& peer : fixture.asked_peers) {
     cr_assert(first.contains(peer), "%s", peer.c_str());
   }
 }
 
-Test(source_choice, a_daemon_that_has_met_nobody_follows_the_store) {
+Test(source_choice, a_daemon_that_knows_no_others_follows_the_store) {
   SourceChoice choice({}, Clock::now());
   membership::MembershipView alone = fleet("h0", 1);
   alone.joined = false;
--- a/tests/feed/store_contact_test.cc
+++ b/tests/feed/store_contact_test.cc
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-/// A daemon that has heard from the store each second for ten seconds.
+/// A daemon that has had an answer of the store each second for ten seconds.
 struct Fixture {
   TimePoint began = Clock::now();
   TimePoint now = this->began;
@@ -35,14 +35,14 @@
   cr_assert(fixture.contact.unbroken_since() == fixture.began);
 }
 
-Test(store_contact, after_an_outage_it_begins_anew) {
+Test(store_contact, an_outage_starts_a_new_period) {
   Fixture fixture;
   fixture.now += milliseconds(4000);
   fixture.contact.on_answer(fixture.now);
   cr_assert(fixture.unbroken() == Duration::zero());
 }
 
-Test(store_contact, a_failed_call_is_a_break_however_short) {
+Test(store_contact, a_failed_call_is_an_interruption_of_any_length) {
   Fixture fixture;
   fixture.contact.on_break(fixture.now);
   fixture.now += milliseconds(200);
@@ -50,14 +50,15 @@
   cr_assert(fixture.unbroken() == Duration::zero());
 }
 
-// Guards against removals that pass for lapsed entries after a gap of one host.
-Test(store_contact, a_peer_that_heard_all_the_while_knows_that_it_was_up) {
+// Guards against treating removed entries as expired when only one host had
+// lost the store.
+Test(store_contact, a_peer_with_continuous_answers_knows_the_store_was_up) {
   Fixture fixture;
   fixture.contact.on_break(fixture.now);
   fixture.now += milliseconds(5000);
   fixture.contact.on_peer(milliseconds(400), milliseconds(60'000), fixture.now);
   cr_assert(fixture.unbroken() == milliseconds(60'000));
-  // Also where its own way is back before it hears from the peer.
+  // The same if the store answers this daemon before the peer's report arrives.
   Fixture other;
   other.contact.on_break(other.now);
   other.now += milliseconds(5000);
@@ -67,8 +68,9 @@
   cr_assert(other.unbroken() == milliseconds(60'000));
 }
 
-// Guards against a peer's contacts from before it has noticed an outage.
-Test(store_contact, a_peer_that_has_not_noticed_yet_knows_nothing) {
+// Guards against relying on contacts that a peer had before an outage and
+// reports before it notices the outage.
+Test(store_contact, contacts_from_before_the_interruption_do_not_count) {
   Fixture fixture;
   fixture.now += milliseconds(300);
   fixture.contact.on_break(fixture.now);
@@ -78,16 +80,17 @@
   cr_assert(fixture.unbroken() == Duration::zero());
 }
 
-// A follower takes over an outage that its watcher alone has noticed.
-Test(store_contact, the_watcher_of_a_zone_tells_of_an_outage) {
+// Guards against missing an outage that only the zone's watcher has noticed.
+Test(store_contact, the_watcher_of_a_zone_reports_an_outage) {
   Fixture fixture;
   fixture.now += StoreContact::kLongestPause + milliseconds(1);
   fixture.contact.on_peer(milliseconds(0), milliseconds(0), fixture.now);
   cr_assert(fixture.unbroken() == Duration::zero());
 }
 
-// Guards against the end of a watcher's cut that passes for an outage's end.
-Test(store_contact, a_peer_that_was_cut_off_itself_tells_of_no_outage) {
+// Guards against treating the end of a watcher's own connection loss as the end
+// of an outage of the store.
+Test(store_contact, a_peer_that_lost_its_own_connection_reports_no_outage) {
   Fixture fixture;
   fixture.now += milliseconds(600);
   fixture.contact.on_peer(milliseconds(0), milliseconds(0), fixture.now);
@@ -101,7 +104,7 @@
   cr_assert(fixture.contact.unbroken_since() == fixture.began);
 }
 
-Test(store_contact, what_a_peer_heard_before_the_outage_is_passed_over) {
+Test(store_contact, answers_to_a_peer_before_the_outage_are_ignored) {
   Fixture fixture;
   fixture.now += milliseconds(4000);
   fixture.contact.on_answer(fixture.now);
