--- a/ibismux/directory/leaf_directory.cc
+++ b/ibismux/directory/leaf_directory.cc
@@ -57,7 +57,7 @@
   if (this->in_grace_period(now)) {
     this->missing.try_emplace(id, Missing{this->grace_period_end, false});
   } else if (removes_earlier_run) {
-    this->missing.try_emplace(id, Missing{now + kReturnTime, true});
+    this->missing.try_emplace(id, Missing{now + kReregistrationTime, true});
   } else {
     this->erase(id, now, "removed");
   }
@@ -74,7 +74,7 @@
 void LeafDirectory::registry_regained(TimePoint now) {
   if (this->registry_is_down) {
     this->registry_is_down = false;
-    this->grace_period_end = now + kReturnTime;
+    this->grace_period_end = now + kReregistrationTime;
     // Entries that expired during the outage get the same grace period as those
     // that expire now.
     for (auto& [id, row] : this->missing) {
@@ -87,7 +87,7 @@
   if (this->registry_is_down) {
     return;
   }
-  this->grace_period_end = since + kReturnTime;
+  this->grace_period_end = since + kReregistrationTime;
   for (auto& [id, row] : this->missing) {
     if (!row.replaces_earlier_run) {
       row.removal_at = this->grace_period_end;
@@ -164,7 +164,7 @@
   const auto is_expired = [&](const std::string& id) {
     const auto row = this->tombstones.find(id);
     return row == this->tombstones.end() ||
-           now - row->second.at > kRememberGone;
+           now - row->second.at > kTombstoneRetention;
   };
   while (!this->tombstone_order.empty() &&
          is_expired(this->tombstone_order.front())) {
--- a/ibismux/directory/leaf_directory.h
+++ b/ibismux/directory/leaf_directory.h
@@ -33,10 +33,10 @@
 ///
 /// The registry drops the entries of running leafs that can't reach it. A
 /// missing entry around an outage of the registry is therefore no evidence that
-/// the leaf has ended: the leaf is kept until `kReturnTime` after the outage,
-/// by which time running leafs have registered again. Without this rule, each
-/// outage of the registry would remove all leafs, and every request would be
-/// refused.
+/// the leaf has ended: the leaf is kept until `kReregistrationTime` after the
+/// outage, by which time running leafs have registered again. Without this
+/// rule, each outage of the registry would remove all leafs, and every request
+/// would be refused.
 ///
 /// A write that timed out at a leaf's host may still be applied seconds later
 /// and overwrite newer ones. An entry of an earlier run, or of the same run
@@ -50,12 +50,12 @@
   /// Time within which running leafs whose entries expired during an outage of
   /// the registry have registered again after its end; the registry's owners
   /// guarantee 2 s.
-  static constexpr std::chrono::milliseconds kReturnTime{2000};
+  static constexpr std::chrono::milliseconds kReregistrationTime{2000};
 
   /// How long the last entry of a removed leaf is kept in order to recognize
   /// its delayed writes. The longest delay that a store has been seen to cause
   /// is 6 s.
-  static constexpr std::chrono::seconds kRememberGone{30};
+  static constexpr std::chrono::seconds kTombstoneRetention{30};
 
   /// @param listener Must outlive the directory.
   explicit LeafDirectory(DirectoryListener& listener) : listener(listener) {}
@@ -70,8 +70,8 @@
   void put(const LeafEntry& entry, TimePoint now);
   /// Handles the removal of one entry.
   /// @param last The removed entry, or null if it isn't known. If it belongs to
-  /// an earlier run than the known one, the leaf is kept for `kReturnTime`,
-  /// within which the later run writes its entry again.
+  /// an earlier run than the known one, the leaf is kept for
+  /// `kReregistrationTime`, within which the later run writes its entry again.
   void remove(const std::string& id, TimePoint now, const LeafEntry* last);
   /// Removes the leaf at once because its entry can't be read any more.
   void discard(const std::string& id, TimePoint now);
@@ -84,8 +84,8 @@
   /// The registry answers again.
   void registry_regained(TimePoint now);
   /// The registry has answered some daemon without interruption since `since`.
-  /// Leafs whose entries were missing `kReturnTime` after that have ended, even
-  /// if this daemon could not reach the registry for a while.
+  /// Leafs whose entries were missing `kReregistrationTime` after that have
+  /// ended, even if this daemon could not reach the registry for a while.
   void registry_unbroken_since(TimePoint since);
   /// @}
 
@@ -124,9 +124,10 @@
     /// earlier run, and not because of an outage.
     bool replaces_earlier_run = false;
   };
-  std::map<std::string, Missing> missing;       ///< By id.
-  std::map<std::string, Tombstone> tombstones;  ///< By id, for `kRememberGone`.
-  std::deque<std::string> tombstone_order;      ///< The same ids, oldest first.
+  std::map<std::string, Missing> missing;  ///< By id.
+  std::map<std::string, Tombstone>
+      tombstones;  ///< By id, for `kTombstoneRetention`.
+  std::deque<std::string> tombstone_order;  ///< The same ids, oldest first.
   bool registry_is_down = false;
   /// Running leafs have registered again by this time.
   TimePoint grace_period_end = TimePoint::min();
--- a/ibismux/directory/refused_entry.h
+++ b/ibismux/directory/refused_entry.h
@@ -16,12 +16,12 @@
 };
 
 /// Number of values of `EntryFault`.
-inline constexpr std::size_t kEntryFaults = 4;
+inline constexpr std::size_t kEntryFaultCount = 4;
 
 /// Stable name in snake case, used as a metric label. Thread safe.
 [[nodiscard]] constexpr std::string_view to_string(EntryFault fault) noexcept {
-  constexpr std::string_view kNames[kEntryFaults] = {"unreadable", "field",
-                                                     "address", "state"};
+  constexpr std::string_view kNames[kEntryFaultCount] = {"unreadable", "field",
+                                                         "address", "state"};
   return kNames[static_cast<std::size_t>(fault)];
 }
 
--- a/ibismux/edge/leaf_feed.h
+++ b/ibismux/edge/leaf_feed.h
@@ -60,7 +60,7 @@
   const LeafEntryDecoder& decoder;
   eventlog::EventLog& log;
   const std::function<void()> on_back;
-  std::array<prometheus::Counter*, directory::kEntryFaults> refusals;
+  std::array<prometheus::Counter*, directory::kEntryFaultCount> refusals;
   /// The version at which each entry was last refused, for the log.
   std::map<std::string, store::Version> refused_at;
   http::Timer expiry;
--- a/tests/directory/leaf_directory_test.cc
+++ b/tests/directory/leaf_directory_test.cc
@@ -100,8 +100,8 @@
   fixture.directory.registry_regained(fixture.now);
   fixture.directory.remove("a", fixture.now + milliseconds(100), nullptr);
   cr_assert(fixture.listener.known.size() == 2);
-  fixture.directory.remove("b", fixture.now + LeafDirectory::kReturnTime,
-                           nullptr);
+  fixture.directory.remove(
+      "b", fixture.now + LeafDirectory::kReregistrationTime, nullptr);
   cr_assert(fixture.listener.known == std::set<std::string>({"a"}));
 }
 
@@ -132,7 +132,7 @@
   fixture.directory.remove("a", fixture.now, nullptr);
   cr_assert(fixture.listener.known.contains("a"));
   cr_assert(fixture.directory.next_expiry() ==
-            fixture.now + LeafDirectory::kReturnTime);
+            fixture.now + LeafDirectory::kReregistrationTime);
 }
 
 Test(leaf_directory, nothing_expires_while_the_registry_is_down) {
@@ -175,7 +175,7 @@
   Fixture fixture;
   fixture.directory.put(run_of_a(500, 7), fixture.now);
   fixture.directory.remove("a", fixture.now, nullptr);
-  fixture.now += LeafDirectory::kRememberGone + milliseconds(1);
+  fixture.now += LeafDirectory::kTombstoneRetention + milliseconds(1);
   fixture.directory.remove("b", fixture.now, nullptr);
   fixture.directory.put(run_of_a(500, 6), fixture.now);
   cr_assert(fixture.listener.known.contains("a"));
@@ -204,7 +204,7 @@
   cr_assert(fixture.listener.known.contains("a"));
   // The new run is expected to write its entry again within the guaranteed
   // time.
-  const TimePoint until = fixture.now + LeafDirectory::kReturnTime;
+  const TimePoint until = fixture.now + LeafDirectory::kReregistrationTime;
   cr_assert(fixture.directory.next_expiry() == until);
   fixture.directory.put(run_of_a(900, 4), fixture.now);
   cr_assert(fixture.directory.next_expiry() == TimePoint::max());
