--- a/ibismux/directory/leaf_directory.cc
+++ b/ibismux/directory/leaf_directory.cc
@@ -42,7 +42,7 @@
     return;
   }
   known = entry;
-  this->listener.on_leaf(entry);
+  this->listener.on_leaf_updated(entry);
 }
 
 void LeafDirectory::remove(const std::string& id,
@@ -157,7 +157,7 @@
   }
   this->add_tombstone(std::move(known->second), now);
   this->entries.erase(known);
-  this->listener.on_leaf_gone(id, reason);
+  this->listener.on_leaf_removed(id, reason);
 }
 
 void LeafDirectory::add_tombstone(LeafEntry entry, TimePoint now) {
--- a/ibismux/directory/leaf_directory.h
+++ b/ibismux/directory/leaf_directory.h
@@ -22,9 +22,10 @@
   virtual void on_listing_end() {}
   /// @}
   /// A leaf was added, has restarted, or its entry has changed.
-  virtual void on_leaf(const LeafEntry& entry) = 0;
+  virtual void on_leaf_updated(const LeafEntry& entry) = 0;
   /// A leaf was removed. @param reason One word for the log.
-  virtual void on_leaf_gone(const std::string& id, std::string_view reason) = 0;
+  virtual void on_leaf_removed(const std::string& id,
+                               std::string_view reason) = 0;
   /// An entry was ignored because the leaf had already written a newer one.
   virtual void on_outdated_entry(const LeafEntry&) {}
 };
--- a/ibismux/dispatch/dispatcher.cc
+++ b/ibismux/dispatch/dispatcher.cc
@@ -190,7 +190,7 @@
   }
 }
 
-void Dispatcher::on_leaf(const directory::LeafEntry& entry) {
+void Dispatcher::on_leaf_updated(const directory::LeafEntry& entry) {
   const auto known = this->leafs.find(entry.run.id);
   if (known == this->leafs.end()) {
     if (!this->in_first_listing) {
@@ -216,7 +216,8 @@
   }
 }
 
-void Dispatcher::on_leaf_gone(const std::string& id, std::string_view reason) {
+void Dispatcher::on_leaf_removed(const std::string& id,
+                                 std::string_view reason) {
   const auto known = this->leafs.find(id);
   if (known == this->leafs.end()) {
     return;
--- a/ibismux/dispatch/dispatcher.h
+++ b/ibismux/dispatch/dispatcher.h
@@ -98,8 +98,8 @@
   /// writes some hundred of them at each daemon's start otherwise.
   void on_listing_begin() override;
   void on_listing_end() override;
-  void on_leaf(const directory::LeafEntry& entry) override;
-  void on_leaf_gone(const std::string& id, std::string_view reason) override;
+  void on_leaf_updated(const directory::LeafEntry& entry) override;
+  void on_leaf_removed(const std::string& id, std::string_view reason) override;
   void on_outdated_entry(const directory::LeafEntry& entry) override;
   /// @}
 
--- a/tests/directory/leaf_directory_test.cc
+++ b/tests/directory/leaf_directory_test.cc
@@ -12,11 +12,11 @@
 /// Records the changes that the directory reports.
 class Listener : public DirectoryListener {
  public:
-  void on_leaf(const LeafEntry& entry) override {
+  void on_leaf_updated(const LeafEntry& entry) override {
     this->known.insert(entry.run.id);
     ++this->reports;
   }
-  void on_leaf_gone(const std::string& id, std::string_view) override {
+  void on_leaf_removed(const std::string& id, std::string_view) override {
     this->known.erase(id);
   }
 
--- a/tests/dispatch/cold_limit_test.cc
+++ b/tests/dispatch/cold_limit_test.cc
@@ -151,7 +151,7 @@
     entry.zone = "z" + std::to_string(leaf);
     entry.slots = 4;
     entry.warmup_left = left;
-    this->dispatcher.on_leaf(entry);
+    this->dispatcher.on_leaf_updated(entry);
   }
 
   std::size_t runs_at(int leaf) {
--- a/tests/dispatch/dispatch_fixture.h
+++ b/tests/dispatch/dispatch_fixture.h
@@ -50,7 +50,7 @@
       entry.zone = "z" + std::to_string(i);
       entry.slots = 4;
       this->entries[entry.run.id] = entry;
-      this->dispatcher.on_leaf(entry);
+      this->dispatcher.on_leaf_updated(entry);
     }
   }
 
@@ -59,7 +59,7 @@
     for (const std::string& id : this->leafs.revive()) {
       directory::LeafEntry& entry = this->entries.at(id);
       ++entry.run.started;
-      this->dispatcher.on_leaf(entry);
+      this->dispatcher.on_leaf_updated(entry);
     }
   }
 
--- a/tests/dispatch/evacuation_test.cc
+++ b/tests/dispatch/evacuation_test.cc
@@ -32,7 +32,7 @@
   entry.service = "desk";
   entry.zone = "z0";
   entry.slots = 4;
-  fixture.dispatcher.on_leaf(entry);
+  fixture.dispatcher.on_leaf_updated(entry);
   cr_assert(fixture.run_many("/page/", 10) == 10);
   cr_assert(runs_in_own_zone(fixture) == 0);
 }
--- a/tests/dispatch/forward_test.cc
+++ b/tests/dispatch/forward_test.cc
@@ -123,7 +123,7 @@
   entry.service = "desk";
   entry.zone = "z0";
   entry.draining = true;
-  fixture.dispatcher.on_leaf(entry);
+  fixture.dispatcher.on_leaf_updated(entry);
   cr_assert(fixture.run("r1", "/page/1").has_value());
   cr_assert(fixture.leafs.runs["desk-0"].empty());
 }
@@ -131,7 +131,7 @@
 Test(forward, without_leafs_the_refusal_comes_at_once) {
   DispatchFixture fixture;
   for (int i = 0; i < 3; ++i) {
-    fixture.dispatcher.on_leaf_gone("desk-" + std::to_string(i), "removed");
+    fixture.dispatcher.on_leaf_removed("desk-" + std::to_string(i), "removed");
   }
   const Outcome& outcome = fixture.run("r1", "/page/1");
   cr_assert(outcome.error().execution == Execution::kNotRun);
--- a/tests/dispatch/leaf_restart_test.cc
+++ b/tests/dispatch/leaf_restart_test.cc
@@ -19,7 +19,7 @@
 
 /// The daemon's own zone has "desk-0", so calls go there while it is well.
 struct RestartFixture : DispatchFixture {
-  RestartFixture() { this->dispatcher.on_leaf(desk_0(1000)); }
+  RestartFixture() { this->dispatcher.on_leaf_updated(desk_0(1000)); }
 
   /// Begins a request, and waits until "desk-0" works on it.
   void begin_at_desk_0(const std::string& id, const std::string& path) {
@@ -39,7 +39,7 @@
   RestartFixture fixture;
   cr_assert(fixture.run("r1", "/page/1").has_value());
   cr_assert(fixture.leafs.dials["desk-0"] == 1);
-  fixture.dispatcher.on_leaf(desk_0(2000));
+  fixture.dispatcher.on_leaf_updated(desk_0(2000));
   cr_assert(fixture.run("r2", "/page/1").has_value());
   cr_assert(fixture.leafs.dials["desk-0"] == 2);
 }
@@ -48,7 +48,7 @@
 Test(leaf_restart, an_idempotent_call_goes_to_another_leaf_at_once) {
   RestartFixture fixture;
   fixture.begin_at_desk_0("r1", "/page/1");
-  fixture.dispatcher.on_leaf(desk_0(2000));
+  fixture.dispatcher.on_leaf_updated(desk_0(2000));
   cr_assert(fixture.ends("r1"));
   cr_assert(fixture.outcomes.at("r1").has_value());
   cr_assert(fixture.leafs.times_run("r1") == 2);
@@ -57,7 +57,7 @@
 Test(leaf_restart, a_call_that_may_run_once_ends_as_unknown_at_once) {
   RestartFixture fixture;
   fixture.begin_at_desk_0("r1", "/order/1");
-  fixture.dispatcher.on_leaf(desk_0(2000));
+  fixture.dispatcher.on_leaf_updated(desk_0(2000));
   cr_assert(fixture.ends("r1"));
   cr_assert(fixture.outcomes.at("r1").error().execution == Execution::kUnknown);
   cr_assert(fixture.leafs.times_run("r1") == 1);
@@ -70,7 +70,7 @@
   cr_assert(fixture.run("r1", "/page/1").has_value());
   cr_assert(fixture.leafs.runs["desk-0"].empty());
   fixture.leafs.behaviour["desk-0"] = {};
-  fixture.dispatcher.on_leaf(desk_0(2000));
+  fixture.dispatcher.on_leaf_updated(desk_0(2000));
   cr_assert(fixture.run("r2", "/page/1").has_value());
   cr_assert(fixture.leafs.runs["desk-0"].size() == 1);
 }
@@ -81,7 +81,7 @@
   fixture.leafs.behaviour["desk-0"] = {.replaced = true};
   cr_assert(fixture.run("r1", "/page/1").has_value());
   fixture.leafs.behaviour["desk-0"] = {};
-  fixture.dispatcher.on_leaf(desk_0(2000));
+  fixture.dispatcher.on_leaf_updated(desk_0(2000));
   cr_assert(fixture.run("r2", "/page/1").has_value());
   cr_assert(fixture.leafs.runs["desk-0"].size() == 1);
 }
@@ -89,7 +89,7 @@
 // Guards against reports on a former run that count for the present one.
 Test(leaf_restart, a_report_of_the_former_run_says_nothing_of_the_new_one) {
   RestartFixture fixture;
-  fixture.dispatcher.on_leaf(desk_0(2000));
+  fixture.dispatcher.on_leaf_updated(desk_0(2000));
   fixture.dispatcher.on_report({.run = {"desk-0", milliseconds(1000)},
                                 .samples = 50,
                                 .excess = 20,
@@ -109,7 +109,7 @@
   RestartFixture fixture;
   directory::LeafEntry moved = desk_0(2000);
   moved.service = "s1";
-  fixture.dispatcher.on_leaf(moved);
+  fixture.dispatcher.on_leaf_updated(moved);
   for (const char* id : {"r1", "r2", "r3", "r4"}) {
     cr_assert(fixture.run(id, "/page/1").has_value());
   }
@@ -121,7 +121,7 @@
   cr_assert(fixture.run("r1", "/page/1").has_value());
   directory::LeafEntry moved = desk_0(1000);
   moved.port = 9;
-  fixture.dispatcher.on_leaf(moved);
+  fixture.dispatcher.on_leaf_updated(moved);
   cr_assert(fixture.run("r2", "/page/1").has_value());
   cr_assert(fixture.leafs.dials["desk-0"] == 2);
 }
@@ -132,7 +132,7 @@
   directory::LeafEntry warm = desk_0(1000);
   warm.warmup_left = milliseconds(500);
   warm.sequence = 7;
-  fixture.dispatcher.on_leaf(warm);
+  fixture.dispatcher.on_leaf_updated(warm);
   cr_assert(fixture.run("r2", "/page/1").has_value());
   cr_assert(fixture.leafs.dials["desk-0"] == 1);
 }
@@ -149,8 +149,8 @@
       caller->cancel();
     }
     fixture.loop.poll();
-    fixture.dispatcher.on_leaf(desk_0(2000 + 2 * i));
-    fixture.dispatcher.on_leaf(desk_0(2001 + 2 * i));
+    fixture.dispatcher.on_leaf_updated(desk_0(2000 + 2 * i));
+    fixture.dispatcher.on_leaf_updated(desk_0(2001 + 2 * i));
   }
   cr_assert(fixture.run_until([&] { return fixture.outcomes.size() == 40; }));
 }
--- a/tests/dispatch/link_opening_test.cc
+++ b/tests/dispatch/link_opening_test.cc
@@ -91,7 +91,7 @@
   leaving.zone = "z0";
   leaving.slots = 4;
   leaving.draining = true;
-  fixture.dispatcher.on_leaf(leaving);
+  fixture.dispatcher.on_leaf_updated(leaving);
   fixture.dispatcher.set_fleet(small_fleet());
   cr_assert(fixture.run_until([&] { return dials(fixture) >= kLeafs - 1; }));
   fixture.run("r1", "/query/1");
--- a/tests/dispatch/scatter_test.cc
+++ b/tests/dispatch/scatter_test.cc
@@ -116,7 +116,7 @@
   DispatchFixture fixture;
   for (const char* shard : {"s1", "s2"}) {
     for (int i = 0; i < 3; ++i) {
-      fixture.dispatcher.on_leaf_gone(
+      fixture.dispatcher.on_leaf_removed(
           std::string(shard) + "-" + std::to_string(i), "removed");
     }
   }
