--- a/ibismux/directory/leaf_directory.cc
+++ b/ibismux/directory/leaf_directory.cc
@@ -83,7 +83,7 @@
   }
 }
 
-void LeafDirectory::registry_unbroken_since(TimePoint since) {
+void LeafDirectory::registry_available_since(TimePoint since) {
   if (this->registry_is_down) {
     return;
   }
--- a/ibismux/directory/leaf_directory.h
+++ b/ibismux/directory/leaf_directory.h
@@ -87,7 +87,7 @@
   /// The registry has answered some daemon without interruption since `since`.
   /// Leafs whose entries were missing `kReregistrationTime` after that have
   /// ended, even if this daemon could not reach the registry for a while.
-  void registry_unbroken_since(TimePoint since);
+  void registry_available_since(TimePoint since);
   /// @}
 
   /// Removes the leafs without an entry whose grace period has ended. To be
--- a/ibismux/edge/leaf_feed.cc
+++ b/ibismux/edge/leaf_feed.cc
@@ -68,8 +68,8 @@
   this->on_back();
 }
 
-void LeafFeed::on_unbroken_since(TimePoint since) {
-  this->directory.registry_unbroken_since(since);
+void LeafFeed::on_available_since(TimePoint since) {
+  this->directory.registry_available_since(since);
   this->schedule_expiry();
 }
 
--- a/ibismux/edge/leaf_feed.h
+++ b/ibismux/edge/leaf_feed.h
@@ -46,7 +46,7 @@
   void on_change(const store::WatchBatch::Event& event) override;
   void on_lost() override;
   void on_regained() override;
-  void on_unbroken_since(TimePoint since) override;
+  void on_available_since(TimePoint since) override;
 
  private:
   /// The entry of `object`; nothing where it names no leaf to use.
--- a/ibismux/feed/collection_feed.h
+++ b/ibismux/feed/collection_feed.h
@@ -104,8 +104,8 @@
   /// Reports that updates are available again. @param reason For the log.
   void report_regained(std::string_view reason);
   /// See `FeedObserver`.
-  void report_unbroken_since(TimePoint since) {
-    this->observer.on_unbroken_since(since);
+  void report_available_since(TimePoint since) {
+    this->observer.on_available_since(since);
   }
 
  private:
--- a/ibismux/feed/feed_observer.h
+++ b/ibismux/feed/feed_observer.h
@@ -21,7 +21,7 @@
   /// The store has answered some daemon without interruption since the given
   /// time, so that no entry expired because of an outage: an object that is
   /// missing from it was removed.
-  virtual void on_unbroken_since(TimePoint) {}
+  virtual void on_available_since(TimePoint) {}
 };
 
 }  // namespace ibismux::feed
--- a/ibismux/feed/feed_relay.cc
+++ b/ibismux/feed/feed_relay.cc
@@ -138,12 +138,12 @@
 }
 
 void FeedRelay::on_store_failure() {
-  this->contact.on_break(Clock::now());
+  this->contact.on_interruption(Clock::now());
 }
 
 void FeedRelay::share_contact() {
   for (const auto& feed : this->feeds) {
-    feed->report_unbroken_since(this->contact.unbroken_since());
+    feed->report_available_since(this->contact.available_since());
   }
 }
 
@@ -154,7 +154,7 @@
 void FeedRelay::invalidate() {
   const TimePoint now = Clock::now();
   this->choice.invalidate(now);
-  this->contact.on_break(now);
+  this->contact.on_interruption(now);
 }
 
 void FeedRelay::tick() {
@@ -241,7 +241,7 @@
   PushMessage message;
   const TimePoint now = Clock::now();
   message.age = this->choice.age(now);
-  message.unbroken = now - this->contact.unbroken_since();
+  message.available_for = now - this->contact.available_since();
   message.known = this->known();
   return message;
 }
@@ -284,7 +284,7 @@
 
 void FeedRelay::apply_message(const std::string& from, PushMessage message) {
   const TimePoint now = Clock::now();
-  this->contact.on_peer(message.age, message.unbroken, now);
+  this->contact.on_peer(message.age, message.available_for, now);
   if (this->in_use == Source::kPeers && message.age < kMaxContactAge) {
     // Reported before the updates are applied, because an entry that is missing
     // from them may have expired while nobody reached the store, although its
--- a/ibismux/feed/messages.cc
+++ b/ibismux/feed/messages.cc
@@ -67,7 +67,7 @@
 std::string encode(const PushMessage& message) {
   wire::Push out;
   out.__set_age_ms(to_millis(message.age));
-  out.__set_unbroken_ms(to_millis(message.unbroken));
+  out.__set_unbroken_ms(to_millis(message.available_for));
   out.__set_known(to_wire(message.known));
   std::vector<wire::Update> all;
   for (const Update& update : message.updates) {
@@ -93,7 +93,7 @@
   }
   PushMessage message;
   message.age = std::chrono::milliseconds(row->age_ms);
-  message.unbroken = std::chrono::milliseconds(row->unbroken_ms);
+  message.available_for = std::chrono::milliseconds(row->unbroken_ms);
   message.known = from_wire(row->known);
   for (const wire::Update& update : row->updates) {
     message.updates.push_back(from_wire(update));
--- a/ibismux/feed/messages.h
+++ b/ibismux/feed/messages.h
@@ -29,7 +29,7 @@
   Duration age{0};  ///< Time since the sender's last contact with the store.
   /// For how long the store has answered some daemon without interruption, as
   /// far as the sender knows; at least `age` if it knows of any answer.
-  Duration unbroken{0};
+  Duration available_for{0};
   KnownVersions known;
   std::vector<Update> updates;
 };
--- a/ibismux/feed/store_contact.cc
+++ b/ibismux/feed/store_contact.cc
@@ -13,10 +13,10 @@
 }
 
 void StoreContact::on_peer(Duration age,
-                           Duration unbroken,
+                           Duration available_for,
                            TimePoint now) noexcept {
   const TimePoint their_last = now - age;
-  const TimePoint their_since = now - unbroken;
+  const TimePoint their_since = now - available_for;
   const bool is_older_than_break =
       this->interrupted_at && their_last <= *this->interrupted_at;
   if (is_older_than_break || their_last + kLongestPause < this->since) {
--- a/ibismux/feed/store_contact.h
+++ b/ibismux/feed/store_contact.h
@@ -36,17 +36,17 @@
 
   /// A call of this daemon to the store failed, or its host was suspended. The
   /// next answer starts a new period, unless a peer has had an answer since.
-  void on_break(TimePoint now) noexcept { this->interrupted_at = now; }
+  void on_interruption(TimePoint now) noexcept { this->interrupted_at = now; }
 
   /// A peer reported its contacts, including those that other peers reported to
   /// it.
   /// @param age Time since the last answer known to the peer.
   /// @param unbroken For how long the store has answered without interruption
   /// up to now.
-  void on_peer(Duration age, Duration unbroken, TimePoint now) noexcept;
+  void on_peer(Duration age, Duration available_for, TimePoint now) noexcept;
 
   /// Start of the current period of answers without interruption.
-  [[nodiscard]] TimePoint unbroken_since() const noexcept {
+  [[nodiscard]] TimePoint available_since() const noexcept {
     return this->since;
   }
 
--- a/tests/directory/leaf_directory_test.cc
+++ b/tests/directory/leaf_directory_test.cc
@@ -115,7 +115,7 @@
   fixture.directory.registry_regained(fixture.now);
   fixture.directory.remove("a", fixture.now, nullptr);
   cr_assert(fixture.listener.known.contains("a"));
-  fixture.directory.registry_unbroken_since(up_since);
+  fixture.directory.registry_available_since(up_since);
   cr_assert(fixture.directory.next_expiry() <= fixture.now);
   fixture.directory.expire(fixture.now);
   cr_assert(!fixture.listener.known.contains("a"));
@@ -128,7 +128,7 @@
 Test(leaf_directory,
      missing_leafs_are_kept_after_an_outage_that_others_noticed) {
   Fixture fixture;
-  fixture.directory.registry_unbroken_since(fixture.now);
+  fixture.directory.registry_available_since(fixture.now);
   fixture.directory.remove("a", fixture.now, nullptr);
   cr_assert(fixture.listener.known.contains("a"));
   cr_assert(fixture.directory.next_expiry() ==
--- a/tests/feed/feed_relay_test.cc
+++ b/tests/feed/feed_relay_test.cc
@@ -181,7 +181,7 @@
   void on_change(const store::WatchBatch::Event&) override {}
   void on_lost() override {}
   void on_regained() override {}
-  void on_unbroken_since(TimePoint) override { ++this->contacts; }
+  void on_available_since(TimePoint) override { ++this->contacts; }
 
   int contacts = 0;
 };
--- a/tests/feed/messages_test.cc
+++ b/tests/feed/messages_test.cc
@@ -8,7 +8,7 @@
 Test(feed_messages, a_push_survives_encoding_and_decoding) {
   PushMessage message;
   message.age = std::chrono::milliseconds(250);
-  message.unbroken = std::chrono::milliseconds(61'000);
+  message.available_for = std::chrono::milliseconds(61'000);
   message.known = {{"config", 7}, {"leafs", 9}};
   message.updates.push_back({"leafs",
                              8,
@@ -19,7 +19,7 @@
   const auto read = decode_push(encode(message));
   cr_assert(read.has_value());
   cr_assert(read->age == message.age);
-  cr_assert(read->unbroken == message.unbroken);
+  cr_assert(read->available_for == message.available_for);
   cr_assert(read->known == message.known);
   cr_assert(read->updates.size() == 1 && read->updates[0].events.size() == 2);
   cr_assert(read->updates[0].since == 8 && read->updates[0].version == 9);
@@ -38,7 +38,7 @@
   PushMessage future;
   future.age = std::chrono::milliseconds(-5);
   cr_assert(!decode_push(encode(future)).has_value());
-  future = {.unbroken = std::chrono::milliseconds(-5)};
+  future = {.available_for = std::chrono::milliseconds(-5)};
   cr_assert(!decode_push(encode(future)).has_value());
 }
 
--- a/tests/feed/store_contact_test.cc
+++ b/tests/feed/store_contact_test.cc
@@ -25,47 +25,47 @@
     }
   }
 
-  [[nodiscard]] Duration unbroken() const {
-    return this->now - this->contact.unbroken_since();
+  [[nodiscard]] Duration available_for() const {
+    return this->now - this->contact.available_since();
   }
 };
 
 Test(store_contact, answers_each_second_are_unbroken) {
   const Fixture fixture;
-  cr_assert(fixture.contact.unbroken_since() == fixture.began);
+  cr_assert(fixture.contact.available_since() == fixture.began);
 }
 
 Test(store_contact, an_outage_starts_a_new_period) {
   Fixture fixture;
   fixture.now += milliseconds(4000);
   fixture.contact.on_answer(fixture.now);
-  cr_assert(fixture.unbroken() == Duration::zero());
+  cr_assert(fixture.available_for() == Duration::zero());
 }
 
 Test(store_contact, a_failed_call_is_an_interruption_of_any_length) {
   Fixture fixture;
-  fixture.contact.on_break(fixture.now);
+  fixture.contact.on_interruption(fixture.now);
   fixture.now += milliseconds(200);
   fixture.contact.on_answer(fixture.now);
-  cr_assert(fixture.unbroken() == Duration::zero());
+  cr_assert(fixture.available_for() == Duration::zero());
 }
 
 // Guards against treating removed entries as expired when only one host had
 // lost the store.
 Test(store_contact, a_peer_with_continuous_answers_knows_the_store_was_up) {
   Fixture fixture;
-  fixture.contact.on_break(fixture.now);
+  fixture.contact.on_interruption(fixture.now);
   fixture.now += milliseconds(5000);
   fixture.contact.on_peer(milliseconds(400), milliseconds(60'000), fixture.now);
-  cr_assert(fixture.unbroken() == milliseconds(60'000));
+  cr_assert(fixture.available_for() == milliseconds(60'000));
   // The same if the store answers this daemon before the peer's report arrives.
   Fixture other;
-  other.contact.on_break(other.now);
+  other.contact.on_interruption(other.now);
   other.now += milliseconds(5000);
   other.contact.on_answer(other.now);
-  cr_assert(other.unbroken() == Duration::zero());
+  cr_assert(other.available_for() == Duration::zero());
   other.contact.on_peer(milliseconds(400), milliseconds(60'000), other.now);
-  cr_assert(other.unbroken() == milliseconds(60'000));
+  cr_assert(other.available_for() == milliseconds(60'000));
 }
 
 // Guards against relying on contacts that a peer had before an outage and
@@ -73,11 +73,11 @@
 Test(store_contact, contacts_from_before_the_interruption_do_not_count) {
   Fixture fixture;
   fixture.now += milliseconds(300);
-  fixture.contact.on_break(fixture.now);
+  fixture.contact.on_interruption(fixture.now);
   fixture.contact.on_peer(milliseconds(500), milliseconds(60'000), fixture.now);
   fixture.now += milliseconds(1000);
   fixture.contact.on_answer(fixture.now);
-  cr_assert(fixture.unbroken() == Duration::zero());
+  cr_assert(fixture.available_for() == Duration::zero());
 }
 
 // Guards against missing an outage that only the zone's watcher has noticed.
@@ -85,7 +85,7 @@
   Fixture fixture;
   fixture.now += StoreContact::kLongestPause + milliseconds(1);
   fixture.contact.on_peer(milliseconds(0), milliseconds(0), fixture.now);
-  cr_assert(fixture.unbroken() == Duration::zero());
+  cr_assert(fixture.available_for() == Duration::zero());
 }
 
 // Guards against treating the end of a watcher's own connection loss as the end
@@ -94,14 +94,14 @@
   Fixture fixture;
   fixture.now += milliseconds(600);
   fixture.contact.on_peer(milliseconds(0), milliseconds(0), fixture.now);
-  cr_assert(fixture.contact.unbroken_since() == fixture.began);
+  cr_assert(fixture.contact.available_since() == fixture.began);
 }
 
 Test(store_contact, a_peer_that_has_just_started_changes_nothing) {
   Fixture fixture;
   fixture.now += milliseconds(200);
   fixture.contact.on_peer(milliseconds(100), milliseconds(400), fixture.now);
-  cr_assert(fixture.contact.unbroken_since() == fixture.began);
+  cr_assert(fixture.contact.available_since() == fixture.began);
 }
 
 Test(store_contact, answers_to_a_peer_before_the_outage_are_ignored) {
@@ -110,7 +110,7 @@
   fixture.contact.on_answer(fixture.now);
   fixture.contact.on_peer(milliseconds(4100), milliseconds(60'000),
                           fixture.now);
-  cr_assert(fixture.unbroken() == Duration::zero());
+  cr_assert(fixture.available_for() == Duration::zero());
 }
 
 }  // namespace
