--- a/ibismux/feed/feed_relay.h
+++ b/ibismux/feed/feed_relay.h
@@ -13,7 +13,7 @@
 #include "ibismux/eventlog/forward.h"
 #include "ibismux/feed/messages.h"
 #include "ibismux/feed/source_choice.h"
-#include "ibismux/feed/store_contact.h"
+#include "ibismux/feed/store_availability.h"
 #include "ibismux/http/socket.h"
 #include "ibismux/membership/forward.h"
 #include "ibismux/peer/peer_network.h"
@@ -99,7 +99,7 @@
   const Feeds feeds;
   SourceChoice choice;
   Source in_use = Source::kStore;
-  StoreContact contact;
+  StoreAvailability contact;
   std::set<std::string> pending_pulls;  ///< By peer.
   /// When the feeds start unless peers have sent all collections before.
   TimePoint start_feeds_at;
--- a/ibismux/feed/store_contact.cc
+++ b/ibismux/feed/store_availability.cc
@@ -1,10 +1,10 @@
-#include "ibismux/feed/store_contact.h"
+#include "ibismux/feed/store_availability.h"
 
 #include <algorithm>
 
 namespace ibismux::feed {
 
-void StoreContact::on_answer(TimePoint now) noexcept {
+void StoreAvailability::on_answer(TimePoint now) noexcept {
   if (this->interrupted_at || now - this->last > kLongestPause) {
     this->since = now;
   }
@@ -12,9 +12,9 @@
   this->last = std::max(this->last, now);
 }
 
-void StoreContact::on_peer(Duration age,
-                           Duration available_for,
-                           TimePoint now) noexcept {
+void StoreAvailability::on_peer(Duration age,
+                                Duration available_for,
+                                TimePoint now) noexcept {
   const TimePoint their_last = now - age;
   const TimePoint their_since = now - available_for;
   const bool is_older_than_break =
--- a/ibismux/feed/store_contact.h
+++ b/ibismux/feed/store_availability.h
@@ -1,5 +1,5 @@
-#ifndef IBISMUX_FEED_STORE_CONTACT_H_
-#define IBISMUX_FEED_STORE_CONTACT_H_
+#ifndef IBISMUX_FEED_STORE_AVAILABILITY_H_
+#define IBISMUX_FEED_STORE_AVAILABILITY_H_
 
 #include <chrono>
 #include <optional>
@@ -20,7 +20,7 @@
 /// seconds longer than allowed.
 ///
 /// Not thread safe. The times passed in must not decrease.
-class StoreContact {
+class StoreAvailability {
  public:
   /// A longer pause between two answers counts as an interruption. Watchers
   /// make a call every second, which takes some tenths of a second if the store
@@ -28,7 +28,7 @@
   /// seconds.
   static constexpr std::chrono::milliseconds kLongestPause{1500};
 
-  explicit StoreContact(TimePoint now) noexcept
+  explicit StoreAvailability(TimePoint now) noexcept
       : last(now), since(now), interrupted_at(now) {}
 
   /// The store answered this daemon.
@@ -58,4 +58,4 @@
 
 }  // namespace ibismux::feed
 
-#endif  // IBISMUX_FEED_STORE_CONTACT_H_
+#endif  // IBISMUX_FEED_STORE_AVAILABILITY_H_
--- a/tests/feed/store_contact_test.cc
+++ b/tests/feed/store_availability_test.cc
@@ -1,4 +1,4 @@
-#include "ibismux/feed/store_contact.h"
+#include "ibismux/feed/store_availability.h"
 
 #include <criterion/criterion.h>
 
@@ -11,7 +11,7 @@
 struct Fixture {
   TimePoint began = Clock::now();
   TimePoint now = this->began;
-  StoreContact contact{this->now};
+  StoreAvailability contact{this->now};
 
   Fixture() {
     this->contact.on_answer(this->now);
@@ -30,19 +30,19 @@
   }
 };
 
-Test(store_contact, answers_each_second_are_unbroken) {
+Test(store_availability, answers_each_second_are_unbroken) {
   const Fixture fixture;
   cr_assert(fixture.contact.available_since() == fixture.began);
 }
 
-Test(store_contact, an_outage_starts_a_new_period) {
+Test(store_availability, an_outage_starts_a_new_period) {
   Fixture fixture;
   fixture.now += milliseconds(4000);
   fixture.contact.on_answer(fixture.now);
   cr_assert(fixture.available_for() == Duration::zero());
 }
 
-Test(store_contact, a_failed_call_is_an_interruption_of_any_length) {
+Test(store_availability, a_failed_call_is_an_interruption_of_any_length) {
   Fixture fixture;
   fixture.contact.on_interruption(fixture.now);
   fixture.now += milliseconds(200);
@@ -52,7 +52,8 @@
 
 // Guards against treating removed entries as expired when only one host had
 // lost the store.
-Test(store_contact, a_peer_with_continuous_answers_knows_the_store_was_up) {
+Test(store_availability,
+     a_peer_with_continuous_answers_knows_the_store_was_up) {
   Fixture fixture;
   fixture.contact.on_interruption(fixture.now);
   fixture.now += milliseconds(5000);
@@ -70,7 +71,7 @@
 
 // Guards against relying on contacts that a peer had before an outage and
 // reports before it notices the outage.
-Test(store_contact, contacts_from_before_the_interruption_do_not_count) {
+Test(store_availability, contacts_from_before_the_interruption_do_not_count) {
   Fixture fixture;
   fixture.now += milliseconds(300);
   fixture.contact.on_interruption(fixture.now);
@@ -81,30 +82,31 @@
 }
 
 // Guards against missing an outage that only the zone's watcher has noticed.
-Test(store_contact, the_watcher_of_a_zone_reports_an_outage) {
+Test(store_availability, the_watcher_of_a_zone_reports_an_outage) {
   Fixture fixture;
-  fixture.now += StoreContact::kLongestPause + milliseconds(1);
+  fixture.now += StoreAvailability::kLongestPause + milliseconds(1);
   fixture.contact.on_peer(milliseconds(0), milliseconds(0), fixture.now);
   cr_assert(fixture.available_for() == Duration::zero());
 }
 
 // Guards against treating the end of a watcher's own connection loss as the end
 // of an outage of the store.
-Test(store_contact, a_peer_that_lost_its_own_connection_reports_no_outage) {
+Test(store_availability,
+     a_peer_that_lost_its_own_connection_reports_no_outage) {
   Fixture fixture;
   fixture.now += milliseconds(600);
   fixture.contact.on_peer(milliseconds(0), milliseconds(0), fixture.now);
   cr_assert(fixture.contact.available_since() == fixture.began);
 }
 
-Test(store_contact, a_peer_that_has_just_started_changes_nothing) {
+Test(store_availability, a_peer_that_has_just_started_changes_nothing) {
   Fixture fixture;
   fixture.now += milliseconds(200);
   fixture.contact.on_peer(milliseconds(100), milliseconds(400), fixture.now);
   cr_assert(fixture.contact.available_since() == fixture.began);
 }
 
-Test(store_contact, answers_to_a_peer_before_the_outage_are_ignored) {
+Test(store_availability, answers_to_a_peer_before_the_outage_are_ignored) {
   Fixture fixture;
   fixture.now += milliseconds(4000);
   fixture.contact.on_answer(fixture.now);
