--- a/ibismux/edge/edge_daemon_life.cc
+++ b/ibismux/edge/edge_daemon_life.cc
@@ -36,7 +36,7 @@
   feed::FeedSettings times;
   times.watch_wait = this->settings.watch_wait;
   times.change_pause = this->settings.change_pause;
-  times.first_pause = this->fleet ? kFirstWatchPause : milliseconds(0);
+  times.first_watch_delay = this->fleet ? kFirstWatchPause : milliseconds(0);
   return std::make_shared<feed::CollectionFeed>(
       this->loop(), this->store, collection, times, observer, this->log);
 }
--- a/ibismux/feed/collection_feed.cc
+++ b/ibismux/feed/collection_feed.cc
@@ -111,9 +111,9 @@
     const bool succeeded = co_await read_all(self);
     is_complete = succeeded;
     if (succeeded && std::exchange(self->is_first_read, false)) {
-      co_await pause(self, self->settings.first_pause);
+      co_await pause(self, self->settings.first_watch_delay);
       if (self->round == round) {
-        const Duration longer = self->listeners.wait_for_peers();
+        const Duration longer = self->listeners.peer_wait_time();
         co_await pause(self, longer);
       }
     }
@@ -145,7 +145,7 @@
         .with("version", store::version_text(self->known.version()))
         .with("listed", store::version_text(listing->version));
   }
-  self->take(update_of(self->known.name(), *std::move(listing)));
+  self->apply(update_of(self->known.name(), *std::move(listing)));
   co_return true;
 }
 
@@ -179,7 +179,7 @@
   }
   self->compacted_pause = Duration::zero();
   const bool changed = !batch->events.empty();
-  self->take(update_of(self->known.name(), since, *std::move(batch)));
+  self->apply(update_of(self->known.name(), since, *std::move(batch)));
   if (changed) {
     co_await pause(self, self->settings.change_pause);
   }
@@ -192,9 +192,9 @@
   co_await self->pause_timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-void CollectionFeed::take(Update update) {
+void CollectionFeed::apply(Update update) {
   const store::Version before = this->known.version();
-  const auto applied = this->known.take(std::move(update), Clock::now());
+  const auto applied = this->known.apply(std::move(update), Clock::now());
   if (!applied) {
     return;
   }
--- a/ibismux/feed/collection_feed.h
+++ b/ibismux/feed/collection_feed.h
@@ -24,7 +24,7 @@
   std::chrono::milliseconds change_pause{300};
   /// Pause between the first read and the first watch, in which peers may offer
   /// to send updates.
-  std::chrono::milliseconds first_pause{0};
+  std::chrono::milliseconds first_watch_delay{0};
 };
 
 /// Follows one collection of the store throughout its lifetime: reads the
@@ -49,8 +49,8 @@
     /// A call of this feed to the store failed.
     std::function<void()> on_store_failure = [] {};
     /// Returns how long to wait for updates of peers before the first watch, in
-    /// addition to `FeedSettings::first_pause`.
-    std::function<Duration()> wait_for_peers = [] { return Duration::zero(); };
+    /// addition to `FeedSettings::first_watch_delay`.
+    std::function<Duration()> peer_wait_time = [] { return Duration::zero(); };
   };
 
   /// All references must outlive the feed.
@@ -84,7 +84,7 @@
   void retry_now();
 
   /// Applies an update from a peer.
-  void take(Update update);
+  void apply(Update update);
 
   [[nodiscard]] const CollectionMirror& mirror() const noexcept {
     return this->known;
--- a/ibismux/feed/collection_mirror.cc
+++ b/ibismux/feed/collection_mirror.cc
@@ -5,7 +5,7 @@
 
 namespace ibismux::feed {
 
-std::optional<Update> CollectionMirror::take(Update update, TimePoint now) {
+std::optional<Update> CollectionMirror::apply(Update update, TimePoint now) {
   // A listing is accepted at the known version too: the first listing of an
   // empty collection counts as well.
   if (update.version < this->known || this->has_gap(update) ||
@@ -29,7 +29,7 @@
     }
   }
   if (unsettled) {
-    this->settle_at = now + kWrittenAgainWithin;
+    this->settle_at = now + kRestoreGracePeriod;
   }
   this->remember(update);
   return update;
--- a/ibismux/feed/collection_mirror.h
+++ b/ibismux/feed/collection_mirror.h
@@ -34,7 +34,7 @@
   /// @return The resulting changes, for observers and peers; a complete listing
   /// only the first time. Nothing if the update is old, or if there is a gap
   /// between the known version and the start of the update.
-  [[nodiscard]] std::optional<Update> take(Update update, TimePoint now);
+  [[nodiscard]] std::optional<Update> apply(Update update, TimePoint now);
 
   /// Whether `update` starts after the known version, so that the changes in
   /// between are missing.
@@ -48,7 +48,7 @@
   /// objects that the copy lacks are kept, because they describe running leafs
   /// and the configuration that operators want.
   /// @{
-  static constexpr std::chrono::milliseconds kWrittenAgainWithin{3000};
+  static constexpr std::chrono::milliseconds kRestoreGracePeriod{3000};
 
   /// When `settle()` is due; nothing if all objects belong to the current era.
   [[nodiscard]] std::optional<TimePoint> settles_at() const noexcept {
--- a/ibismux/feed/feed_relay.cc
+++ b/ibismux/feed/feed_relay.cc
@@ -77,7 +77,7 @@
                                  self->on_store_failure();
                                }
                              },
-                         .wait_for_peers = [weak]() -> Duration {
+                         .peer_wait_time = [weak]() -> Duration {
                            const auto self = weak.lock();
                            return self && self->relies_on_watcher()
                                       ? kWatcherWait
@@ -296,7 +296,7 @@
   this->share_contact();
   for (Update& update : message.updates) {
     if (CollectionFeed* feed = this->find(update.collection)) {
-      feed->take(std::move(update));
+      feed->apply(std::move(update));
     }
   }
   const bool lacks_updates = std::any_of(
--- a/tests/feed/collection_feed_test.cc
+++ b/tests/feed/collection_feed_test.cc
@@ -137,13 +137,13 @@
   }
 
   /// Applies a change of "main" that a peer has sent.
-  void take_from_peer(const std::string& value) {
+  void apply_from_peer(const std::string& value) {
     const store::Version at = this->feed->mirror().version();
-    this->feed->take({"config",
-                      at,
-                      at + 1,
-                      false,
-                      {{{"config", "main", at + 1, value}, false}}});
+    this->feed->apply({"config",
+                       at,
+                       at + 1,
+                       false,
+                       {{{"config", "main", at + 1, value}, false}}});
   }
 
   bool run_until(const std::function<bool()>& reached) {
@@ -204,7 +204,7 @@
   FaultyStore store;
   Observer observer;
   FeedSettings settings;
-  settings.first_pause = std::chrono::milliseconds(50);
+  settings.first_watch_delay = std::chrono::milliseconds(50);
   const auto feed = std::make_shared<CollectionFeed>(loop, store, "config",
                                                      settings, observer, log);
   int contacts = 0;
@@ -240,11 +240,11 @@
 // Guards against a watch by each of hundreds of daemons that start together.
 Test(collection_feed, a_follower_waits_for_its_watcher_before_the_first_watch) {
   Fixture fixture;
-  fixture.feed->set_listeners({.wait_for_peers = [] { return kLimit; }});
+  fixture.feed->set_listeners({.peer_wait_time = [] { return kLimit; }});
   cr_assert(fixture.run_until([&] { return fixture.observer.listings == 1; }));
   run_for_a_while(fixture);
   cr_assert(fixture.store.watches == 0);
-  fixture.take_from_peer("9");
+  fixture.apply_from_peer("9");
   cr_assert(fixture.observer.objects["main"] == "9");
 }
 
@@ -267,7 +267,7 @@
   Fixture fixture;
   cr_assert(fixture.run_until([&] { return fixture.observer.listings == 1; }));
   fixture.feed->suspend();
-  fixture.take_from_peer("9");
+  fixture.apply_from_peer("9");
   cr_assert(fixture.observer.objects["main"] == "9");
 }
 
--- a/tests/feed/collection_mirror_test.cc
+++ b/tests/feed/collection_mirror_test.cc
@@ -22,14 +22,15 @@
   return {"leafs", 0, version, true, std::move(events)};
 }
 
-std::optional<Update> take(CollectionMirror& mirror, Update update) {
-  return mirror.take(std::move(update), Clock::now());
+std::optional<Update> apply(CollectionMirror& mirror, Update update) {
+  return mirror.apply(std::move(update), Clock::now());
 }
 
 Test(collection_mirror, changes_are_applied_to_the_listing) {
   CollectionMirror mirror("leafs");
-  cr_assert(take(mirror, whole(5, {event("a", 4), event("b", 5)})).has_value());
-  cr_assert(take(mirror, change(5, 7, {event("a", 6, true), event("c", 7)}))
+  cr_assert(
+      apply(mirror, whole(5, {event("a", 4), event("b", 5)})).has_value());
+  cr_assert(apply(mirror, change(5, 7, {event("a", 6, true), event("c", 7)}))
                 .has_value());
   const Update all = mirror.whole();
   cr_assert(all.version == 7 && all.events.size() == 2);
@@ -40,27 +41,27 @@
 // Guards against old updates that overwrite newer ones.
 Test(collection_mirror, older_updates_are_ignored) {
   CollectionMirror mirror("leafs");
-  cr_assert(take(mirror, whole(9, {event("b", 8)})).has_value());
-  cr_assert(!take(mirror, change(5, 7, {event("a", 6)})).has_value());
-  cr_assert(!take(mirror, whole(8, {event("a", 6)})).has_value());
+  cr_assert(apply(mirror, whole(9, {event("b", 8)})).has_value());
+  cr_assert(!apply(mirror, change(5, 7, {event("a", 6)})).has_value());
+  cr_assert(!apply(mirror, whole(8, {event("a", 6)})).has_value());
   cr_assert(mirror.version() == 9);
   cr_assert(mirror.whole().events.size() == 1);
 }
 
 Test(collection_mirror, updates_after_a_gap_are_ignored) {
   CollectionMirror mirror("leafs");
-  cr_assert(take(mirror, whole(5, {})).has_value());
+  cr_assert(apply(mirror, whole(5, {})).has_value());
   const Update later = change(6, 7, {event("a", 7)});
   cr_assert(mirror.has_gap(later));
-  cr_assert(!take(mirror, later).has_value());
+  cr_assert(!apply(mirror, later).has_value());
   cr_assert(mirror.version() == 5);
 }
 
 Test(collection_mirror, overlapping_updates_are_applied) {
   CollectionMirror mirror("leafs");
-  cr_assert(take(mirror, whole(5, {event("a", 5)})).has_value());
+  cr_assert(apply(mirror, whole(5, {event("a", 5)})).has_value());
   cr_assert(
-      take(mirror, change(3, 6, {event("a", 5), event("b", 6)})).has_value());
+      apply(mirror, change(3, 6, {event("a", 5), event("b", 6)})).has_value());
   cr_assert(mirror.whole().events.size() == 2);
 }
 
@@ -72,22 +73,22 @@
 // revisions have decreased.
 Test(collection_mirror, a_restored_store_is_newer_at_any_revision) {
   CollectionMirror mirror("leafs");
-  take(mirror, whole(87, {event("a", 80)}));
-  cr_assert(take(mirror, whole(restored(84), {event("a", restored(84))}))
+  apply(mirror, whole(87, {event("a", 80)}));
+  cr_assert(apply(mirror, whole(restored(84), {event("a", restored(84))}))
                 .has_value());
   cr_assert(mirror.version() == restored(84));
-  cr_assert(!take(mirror, whole(99, {event("a", 99)})).has_value());
+  cr_assert(!apply(mirror, whole(99, {event("a", 99)})).has_value());
 }
 
 // Guards against removing leafs until their entries are written again.
 Test(collection_mirror, objects_missing_after_a_restore_are_kept_for_a_while) {
   CollectionMirror mirror("leafs");
-  take(mirror, whole(87, {event("a", 80), event("b", 81), event("c", 82)}));
+  apply(mirror, whole(87, {event("a", 80), event("b", 81), event("c", 82)}));
   const auto fresh =
-      take(mirror, whole(restored(84), {event("a", restored(80))}));
+      apply(mirror, whole(restored(84), {event("a", restored(80))}));
   cr_assert(fresh->events.size() == 1);
   cr_assert(mirror.settles_at().has_value());
-  take(mirror, change(restored(84), restored(85), {event("b", restored(85))}));
+  apply(mirror, change(restored(84), restored(85), {event("b", restored(85))}));
   const auto lost = mirror.settle();
   cr_assert(lost.size() == 1 && lost[0].object.name == "c");
   cr_assert(lost[0].removed && lost[0].lost);
@@ -97,9 +98,9 @@
 
 Test(collection_mirror, a_removal_after_a_restore_applies_at_once) {
   CollectionMirror mirror("leafs");
-  take(mirror, whole(87, {event("a", 80)}));
-  take(mirror, whole(restored(84), {event("a", restored(80))}));
-  cr_assert(take(mirror, whole(restored(86), {}))->events.size() == 1);
+  apply(mirror, whole(87, {event("a", 80)}));
+  apply(mirror, whole(restored(84), {event("a", restored(80))}));
+  cr_assert(apply(mirror, whole(restored(86), {}))->events.size() == 1);
   cr_assert(mirror.settle().empty());
 }
 
@@ -107,7 +108,7 @@
 // ever.
 Test(collection_mirror, objects_of_an_earlier_era_from_a_peer_settle_too) {
   CollectionMirror mirror("leafs");
-  take(mirror, whole(restored(84), {event("a", 80)}));
+  apply(mirror, whole(restored(84), {event("a", 80)}));
   cr_assert(mirror.settles_at().has_value());
   cr_assert(mirror.settle().size() == 1);
 }
