--- a/ibismux/feed/collection_feed.cc
+++ b/ibismux/feed/collection_feed.cc
@@ -104,8 +104,8 @@
   bool is_complete = false;
   while (self->round == round) {
     if (is_complete) {
-      const bool is_answered = co_await follow(self);
-      is_complete = is_answered;
+      const bool is_still_complete = co_await follow(self);
+      is_complete = is_still_complete;
       continue;
     }
     const bool succeeded = co_await read_all(self);
--- a/ibismux/feed/feed_relay.cc
+++ b/ibismux/feed/feed_relay.cc
@@ -50,7 +50,7 @@
       log(log),
       feeds(std::move(feeds)),
       choice(settings, Clock::now()),
-      contact(Clock::now()),
+      availability(Clock::now()),
       next_heartbeat(Clock::now()),
       timer(loop.get_executor()) {}
 
@@ -133,17 +133,17 @@
   }
   const TimePoint now = Clock::now();
   this->choice.on_store_contact(now);
-  this->contact.on_answer(now);
-  this->share_contact();
+  this->availability.on_answer(now);
+  this->share_availability();
 }
 
 void FeedRelay::on_store_failure() {
-  this->contact.on_interruption(Clock::now());
+  this->availability.on_interruption(Clock::now());
 }
 
-void FeedRelay::share_contact() {
+void FeedRelay::share_availability() {
   for (const auto& feed : this->feeds) {
-    feed->report_available_since(this->contact.available_since());
+    feed->report_available_since(this->availability.available_since());
   }
 }
 
@@ -154,7 +154,7 @@
 void FeedRelay::invalidate() {
   const TimePoint now = Clock::now();
   this->choice.invalidate(now);
-  this->contact.on_interruption(now);
+  this->availability.on_interruption(now);
 }
 
 void FeedRelay::tick() {
@@ -241,7 +241,7 @@
   PushMessage message;
   const TimePoint now = Clock::now();
   message.age = this->choice.age(now);
-  message.available_for = now - this->contact.available_since();
+  message.available_for = now - this->availability.available_since();
   message.known = this->known();
   return message;
 }
@@ -284,7 +284,7 @@
 
 void FeedRelay::apply_message(const std::string& from, PushMessage message) {
   const TimePoint now = Clock::now();
-  this->contact.on_peer(message.age, message.available_for, now);
+  this->availability.on_peer(message.age, message.available_for, now);
   if (this->in_use == Source::kPeers && message.age < kMaxContactAge) {
     // Reported before the updates are applied, because an entry that is missing
     // from them may have expired while nobody reached the store, although its
@@ -293,7 +293,7 @@
       feed->report_regained("peers");
     }
   }
-  this->share_contact();
+  this->share_availability();
   for (Update& update : message.updates) {
     if (CollectionFeed* feed = this->find(update.collection)) {
       feed->apply(std::move(update));
--- a/ibismux/feed/feed_relay.h
+++ b/ibismux/feed/feed_relay.h
@@ -80,7 +80,7 @@
   void apply_message(const std::string& from, PushMessage message);
   void on_push(const std::string& from, PushMessage message);
   /// Tells the feeds since when the store has answered without interruption.
-  void share_contact();
+  void share_availability();
   void pull(std::string from);
   [[nodiscard]] static Task<void> run_pull(std::shared_ptr<FeedRelay> self,
                                            std::string from);
@@ -99,7 +99,7 @@
   const Feeds feeds;
   SourceChoice choice;
   Source in_use = Source::kStore;
-  StoreAvailability contact;
+  StoreAvailability availability;
   std::set<std::string> pending_pulls;  ///< By peer.
   /// When the feeds start unless peers have sent all collections before.
   TimePoint start_feeds_at;
