--- a/ibismux/feed/feed_relay.h
+++ b/ibismux/feed/feed_relay.h
@@ -40,8 +40,8 @@
 
   /// Registers handlers and listeners, and starts. Must be called once, before
   /// the network starts.
-  /// @param patience How long to wait for peers to send all collections before
-  /// this daemon reads the store itself.
+  /// @param max_peer_wait How long to wait for peers to send all collections
+  /// before this daemon reads the store itself.
   void start(Duration max_peer_wait);
 
   /// The membership has changed.
--- a/ibismux/feed/store_availability.h
+++ b/ibismux/feed/store_availability.h
@@ -41,8 +41,8 @@
   /// A peer reported its contacts, including those that other peers reported to
   /// it.
   /// @param age Time since the last answer known to the peer.
-  /// @param unbroken For how long the store has answered without interruption
-  /// up to now.
+  /// @param available_for For how long the store has answered without
+  /// interruption up to now.
   void on_peer(Duration age, Duration available_for, TimePoint now) noexcept;
 
   /// Start of the current period of answers without interruption.
