--- a/ibismux/dispatch/dispatcher.h
+++ b/ibismux/dispatch/dispatcher.h
@@ -100,8 +100,8 @@
   /// be hundreds of lines at every daemon start in a large fleet.
   void on_listing_begin() override;
   void on_listing_end() override;
-  void on_leaf(const directory::LeafEntry& entry) override;
-  void on_leaf_gone(const std::string& id, std::string_view reason) override;
+  void on_leaf_updated(const directory::LeafEntry& entry) override;
+  void on_leaf_removed(const std::string& id, std::string_view reason) override;
   void on_outdated_entry(const directory::LeafEntry& entry) override;
   /// @}
 
--- a/ibismux/edge/leaf_feed.h
+++ b/ibismux/edge/leaf_feed.h
@@ -46,7 +46,7 @@
   void on_change(const store::WatchBatch::Event& event) override;
   void on_lost() override;
   void on_regained() override;
-  void on_unbroken_since(TimePoint since) override;
+  void on_available_since(TimePoint since) override;
 
  private:
   /// The entry of `object`; nothing where it names no leaf to use.
@@ -60,7 +60,7 @@
   const LeafEntryDecoder& decoder;
   eventlog::EventLog& log;
   const std::function<void()> on_back;
-  std::array<prometheus::Counter*, directory::kEntryFaults> refusals;
+  std::array<prometheus::Counter*, directory::kEntryFaultCount> refusals;
   /// The version at which each entry was last refused, for the log.
   std::map<std::string, store::Version> refused_at;
   http::Timer expiry;
--- a/ibismux/feed/collection_mirror.cc
+++ b/ibismux/feed/collection_mirror.cc
@@ -5,9 +5,9 @@
 
 namespace ibismux::feed {
 
-std::optional<Update> CollectionMirror::take(Update update, TimePoint now) {
-  // A listing at the version that is known says nothing new, but the first one
-  // does even where the collection is empty.
+std::optional<Update> CollectionMirror::apply(Update update, TimePoint now) {
+  // A listing is accepted at the known version too: the first listing of an
+  // empty collection counts as well.
   if (update.version < this->known || this->has_gap(update) ||
       (update.version == this->known && !update.whole)) {
     return std::nullopt;
@@ -29,7 +29,7 @@
     }
   }
   if (unsettled) {
-    this->settle_at = now + kWrittenAgainWithin;
+    this->settle_at = now + kRestoreGracePeriod;
   }
   this->remember(update);
   return update;
@@ -77,7 +77,7 @@
     return;
   }
   this->recent.push_back(update);
-  if (this->recent.size() > kMostRecent) {
+  if (this->recent.size() > kMaxRecentUpdates) {
     this->recent.pop_front();
   }
 }
--- a/ibismux/feed/feed_relay.cc
+++ b/ibismux/feed/feed_relay.cc
@@ -18,22 +18,25 @@
 using peer::MessageKind;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kTick{250};
-// After its start: how long a daemon that has a watcher in its zone waits for
-// what that one finds in the store, before it begins to watch by itself.
-constexpr milliseconds kWatcherTime{1800};
-// While a fleet starts, many daemons take themselves for the first of their
-// zone, having met few others yet. Longer than views take to spread.
-constexpr milliseconds kSteadyWatcher{1500};
-// How often a daemon tells its children how fresh its knowledge is.
-constexpr milliseconds kBeat{500};
-// A whole collection may take that long over a narrow link.
-constexpr milliseconds kPullTime{1000};
-// With no contact newer than this the store counts as lost, as in an outage.
-constexpr milliseconds kLostAfter{2000};
-// Peers that are asked at a time. One that has been cut off answers nothing for
-// `kPullTime`; the next ones must not wait for it.
-constexpr std::size_t kMostAsked = 3;
+constexpr milliseconds kTickInterval{250};
+// How long a daemon that has a watcher in its zone waits after its start for
+// that watcher's updates before it starts to watch the store itself.
+constexpr milliseconds kWatcherWait{1800};
+// How long a daemon must have been a watcher before it reads the store early.
+// While a fleet starts, many daemons know few others yet and consider
+// themselves the first of their zone. This is longer than membership views take
+// to spread.
+constexpr milliseconds kWatcherStabilityTime{1500};
+// How often a daemon sends its children the age of its last store contact.
+constexpr milliseconds kHeartbeatInterval{500};
+// Timeout of a pull. A complete collection may take this long over a slow link.
+constexpr milliseconds kPullTimeout{1000};
+// If the last contact is older than this, the store counts as lost, as in an
+// outage.
+constexpr milliseconds kMaxContactAge{2000};
+// Number of concurrent pulls. An unreachable peer delays its pull by
+// `kPullTimeout`, and pulls from other peers must not wait for it.
+constexpr std::size_t kMaxPendingPulls = 3;
 
 }  // namespace
 
@@ -47,19 +50,19 @@
       log(log),
       feeds(std::move(feeds)),
       choice(settings, Clock::now()),
-      contact(Clock::now()),
-      next_beat(Clock::now()),
+      availability(Clock::now()),
+      next_heartbeat(Clock::now()),
       timer(loop.get_executor()) {}
 
-void FeedRelay::start(Duration patience) {
-  this->read_at = Clock::now() + patience;
+void FeedRelay::start(Duration max_peer_wait) {
+  this->start_feeds_at = Clock::now() + max_peer_wait;
   this->register_handlers();
   const std::weak_ptr<FeedRelay> weak = this->weak_from_this();
   for (const auto& feed : this->feeds) {
     feed->set_listeners({.on_update =
                              [weak](const Update& update) {
                                if (const auto self = weak.lock()) {
-                                 self->pass_on(update);
+                                 self->relay_update(update);
                                }
                              },
                          .on_store_contact =
@@ -74,10 +77,10 @@
                                  self->on_store_failure();
                                }
                              },
-                         .wait_for_peers = [weak]() -> Duration {
+                         .peer_wait_time = [weak]() -> Duration {
                            const auto self = weak.lock();
                            return self && self->relies_on_watcher()
-                                      ? kWatcherTime
+                                      ? kWatcherWait
                                       : milliseconds(0);
                          }});
   }
@@ -108,16 +111,16 @@
 }
 
 void FeedRelay::on_view(const membership::MembershipView& view) {
-  this->joined = view.joined && view.serving() > 1;
+  this->knows_others = view.joined && view.serving() > 1;
   this->choice.on_view(view);
 }
 
 void FeedRelay::on_store_contact() {
-  // A store that answers for one collection says nothing of another one whose
-  // last call failed: that one is as old as before. Counted as a contact, peers
-  // would rely on an old configuration for as long as the other collection's
-  // watch goes on. Notice where this is missing: where the store turns away a
-  // part of the hosts, some refuse routes five seconds after they were added.
+  // An answer for one collection says nothing about another collection whose
+  // last call failed and which is still out of date. If the answer counted as a
+  // contact, peers would rely on an old configuration for as long as the other
+  // collection's watch continues: when the store rejects a part of the hosts,
+  // some of them would still refuse routes five seconds after their addition.
   bool all_current = true;
   for (const auto& feed : this->feeds) {
     if (feed->lost()) {
@@ -130,47 +133,48 @@
   }
   const TimePoint now = Clock::now();
   this->choice.on_store_contact(now);
-  this->contact.on_answer(now);
-  this->share_contact();
+  this->availability.on_answer(now);
+  this->share_availability();
 }
 
 void FeedRelay::on_store_failure() {
-  this->contact.on_break(Clock::now());
+  this->availability.on_interruption(Clock::now());
 }
 
-void FeedRelay::share_contact() {
+void FeedRelay::share_availability() {
   for (const auto& feed : this->feeds) {
-    feed->report_unbroken_since(this->contact.unbroken_since());
+    feed->report_available_since(this->availability.available_since());
   }
 }
 
 bool FeedRelay::relies_on_watcher() const {
-  return this->joined && !this->choice.is_watcher();
+  return this->knows_others && !this->choice.is_watcher();
 }
 
 void FeedRelay::invalidate() {
   const TimePoint now = Clock::now();
   this->choice.invalidate(now);
-  this->contact.on_break(now);
+  this->availability.on_interruption(now);
 }
 
 void FeedRelay::tick() {
   const TimePoint now = Clock::now();
-  if (const auto whom = this->choice.tick(now)) {
-    this->pull(*whom);
+  if (const auto peer_to_ask = this->choice.tick(now)) {
+    this->pull(*peer_to_ask);
   }
   this->start_feeds();
   this->switch_source();
-  if (this->in_use == Source::kPeers && this->choice.age(now) > kLostAfter) {
+  if (this->in_use == Source::kPeers &&
+      this->choice.age(now) > kMaxContactAge) {
     for (const auto& feed : this->feeds) {
       feed->report_lost("no fresh contact by peers");
     }
   }
-  if (now >= this->next_beat) {
-    this->next_beat = now + kBeat;
-    this->send_beat();
+  if (now >= this->next_heartbeat) {
+    this->next_heartbeat = now + kHeartbeatInterval;
+    this->send_heartbeat();
   }
-  this->timer.expires_after(kTick);
+  this->timer.expires_after(kTickInterval);
   http::await_timer(this->timer, this->weak_from_this(), &FeedRelay::tick);
 }
 
@@ -183,13 +187,13 @@
       this->feeds.begin(), this->feeds.end(),
       [](const auto& feed) { return feed->mirror().version() > 0; });
   if (all_known && this->choice.source() == Source::kPeers) {
-    // Peers bring everything: nothing is to be read. Read all the same, the
-    // store is called by each of hundreds of daemons that start together.
+    // Peers have sent all collections, so nothing has to be read. Otherwise
+    // each of hundreds of daemons that start together would call the store.
     this->started = true;
     this->in_use = Source::kPeers;
     return;
   }
-  if (now < this->read_at && !this->watches_early(now)) {
+  if (now < this->start_feeds_at && !this->may_read_early(now)) {
     return;
   }
   this->started = true;
@@ -198,13 +202,13 @@
   }
 }
 
-bool FeedRelay::watches_early(TimePoint now) {
-  if (!this->joined || !this->choice.is_watcher()) {
+bool FeedRelay::may_read_early(TimePoint now) {
+  if (!this->knows_others || !this->choice.is_watcher()) {
     this->watcher_since = TimePoint::max();
   } else if (this->watcher_since == TimePoint::max()) {
     this->watcher_since = now;
   }
-  return now - std::min(now, this->watcher_since) >= kSteadyWatcher;
+  return now - std::min(now, this->watcher_since) >= kWatcherStabilityTime;
 }
 
 void FeedRelay::switch_source() {
@@ -237,7 +241,7 @@
   PushMessage message;
   const TimePoint now = Clock::now();
   message.age = this->choice.age(now);
-  message.unbroken = now - this->contact.unbroken_since();
+  message.available_for = now - this->availability.available_since();
   message.known = this->known();
   return message;
 }
@@ -259,49 +263,51 @@
   }
 }
 
-void FeedRelay::pass_on(const Update& update) {
+void FeedRelay::relay_update(const Update& update) {
   PushMessage message = this->empty_push();
-  // A listing is long, and most children have it; those that lack it ask.
+  // A listing is large and most children already have its content; the others
+  // pull it.
   if (!update.whole) {
     message.updates.push_back(update);
   }
   this->notify_children(message);
 }
 
-void FeedRelay::send_beat() {
+void FeedRelay::send_heartbeat() {
   this->notify_children(this->empty_push());
 }
 
 void FeedRelay::on_push(const std::string& from, PushMessage message) {
   this->choice.on_push(message.age, Clock::now());
-  this->take(from, std::move(message));
+  this->apply_message(from, std::move(message));
 }
 
-void FeedRelay::take(const std::string& from, PushMessage message) {
+void FeedRelay::apply_message(const std::string& from, PushMessage message) {
   const TimePoint now = Clock::now();
-  this->contact.on_peer(message.age, message.unbroken, now);
-  if (this->in_use == Source::kPeers && message.age < kLostAfter) {
-    // Before the updates: what is missing from them may be a living leaf whose
-    // entry lapsed while nobody reached the store.
+  this->availability.on_peer(message.age, message.available_for, now);
+  if (this->in_use == Source::kPeers && message.age < kMaxContactAge) {
+    // Reported before the updates are applied, because an entry that is missing
+    // from them may have expired while nobody reached the store, although its
+    // leaf is running.
     for (const auto& feed : this->feeds) {
       feed->report_regained("peers");
     }
   }
-  this->share_contact();
+  this->share_availability();
   for (Update& update : message.updates) {
     if (CollectionFeed* feed = this->find(update.collection)) {
-      feed->take(std::move(update));
+      feed->apply(std::move(update));
     }
   }
-  const bool behind = std::any_of(
+  const bool lacks_updates = std::any_of(
       message.known.begin(), message.known.end(), [this](const auto& row) {
         const CollectionFeed* feed = this->find(row.first);
         return feed && feed->mirror().version() < row.second;
       });
-  if (behind) {
-    // A fresh contact of a peer whose updates this daemon lacks says nothing of
-    // what it has: counted, it would go on with an old configuration for as
-    // long as its questions fail.
+  if (lacks_updates) {
+    // A peer's recent contact doesn't confirm the state of this daemon while it
+    // lacks the peer's updates. If it counted, this daemon would use an old
+    // configuration for as long as its pulls fail.
     this->pull(from);
   } else {
     this->choice.on_peer_contact(message.age, now);
@@ -309,7 +315,8 @@
 }
 
 void FeedRelay::pull(std::string from) {
-  if (this->asked.size() >= kMostAsked || !this->asked.insert(from).second) {
+  if (this->pending_pulls.size() >= kMaxPendingPulls ||
+      !this->pending_pulls.insert(from).second) {
     return;
   }
   asio::co_spawn(this->loop,
@@ -323,8 +330,8 @@
   std::string target = from;
   auto response = co_await self->network.request(
       std::move(target), MessageKind::kFeedPull, std::move(payload),
-      Clock::now() + kPullTime);
-  self->asked.erase(from);
+      Clock::now() + kPullTimeout);
+  self->pending_pulls.erase(from);
   if (!response) {
     self->choice.on_no_answer(from);
     self->log.event(eventlog::Weight::kBelief, "feed_pull_failed")
@@ -340,7 +347,7 @@
     co_return;
   }
   self->choice.on_answer(from, message->age);
-  self->take(from, *std::move(message));
+  self->apply_message(from, *std::move(message));
 }
 
 Task<Result<std::string>> FeedRelay::answer_pull(
--- a/tests/dispatch/dispatch_fixture.h
+++ b/tests/dispatch/dispatch_fixture.h
@@ -51,7 +51,7 @@
       entry.zone = "z" + std::to_string(i);
       entry.slots = 4;
       this->entries[entry.run.id] = entry;
-      this->dispatcher.on_leaf(entry);
+      this->dispatcher.on_leaf_updated(entry);
     }
   }
 
@@ -60,7 +60,7 @@
     for (const std::string& id : this->leafs.restart_ended()) {
       directory::LeafEntry& entry = this->entries.at(id);
       ++entry.run.started;
-      this->dispatcher.on_leaf(entry);
+      this->dispatcher.on_leaf_updated(entry);
     }
   }
 
--- a/tests/dispatch/leaf_restart_test.cc
+++ b/tests/dispatch/leaf_restart_test.cc
@@ -19,7 +19,7 @@
 
 /// "desk-0" is in the zone of the daemon, so it gets the calls while healthy.
 struct RestartFixture : DispatchFixture {
-  RestartFixture() { this->dispatcher.on_leaf(desk_0(1000)); }
+  RestartFixture() { this->dispatcher.on_leaf_updated(desk_0(1000)); }
 
   /// Begins a request and waits until "desk-0" executes it.
   void begin_at_desk_0(const std::string& id, const std::string& path) {
@@ -39,7 +39,7 @@
   RestartFixture fixture;
   cr_assert(fixture.run("r1", "/page/1").has_value());
   cr_assert(fixture.leafs.dials["desk-0"] == 1);
-  fixture.dispatcher.on_leaf(desk_0(2000));
+  fixture.dispatcher.on_leaf_updated(desk_0(2000));
   cr_assert(fixture.run("r2", "/page/1").has_value());
   cr_assert(fixture.leafs.dials["desk-0"] == 2);
 }
@@ -48,7 +48,7 @@
 Test(leaf_restart, an_idempotent_call_is_retried_immediately_at_another_leaf) {
   RestartFixture fixture;
   fixture.begin_at_desk_0("r1", "/page/1");
-  fixture.dispatcher.on_leaf(desk_0(2000));
+  fixture.dispatcher.on_leaf_updated(desk_0(2000));
   cr_assert(fixture.ends("r1"));
   cr_assert(fixture.outcomes.at("r1").has_value());
   cr_assert(fixture.leafs.times_run("r1") == 2);
@@ -57,7 +57,7 @@
 Test(leaf_restart, a_non_idempotent_call_ends_immediately_as_unknown) {
   RestartFixture fixture;
   fixture.begin_at_desk_0("r1", "/order/1");
-  fixture.dispatcher.on_leaf(desk_0(2000));
+  fixture.dispatcher.on_leaf_updated(desk_0(2000));
   cr_assert(fixture.ends("r1"));
   cr_assert(fixture.outcomes.at("r1").error().execution == Execution::kUnknown);
   cr_assert(fixture.leafs.times_run("r1") == 1);
@@ -70,7 +70,7 @@
   cr_assert(fixture.run("r1", "/page/1").has_value());
   cr_assert(fixture.leafs.runs["desk-0"].empty());
   fixture.leafs.behaviour["desk-0"] = {};
-  fixture.dispatcher.on_leaf(desk_0(2000));
+  fixture.dispatcher.on_leaf_updated(desk_0(2000));
   cr_assert(fixture.run("r2", "/page/1").has_value());
   cr_assert(fixture.leafs.runs["desk-0"].size() == 1);
 }
@@ -82,7 +82,7 @@
   fixture.leafs.behaviour["desk-0"] = {.replaced = true};
   cr_assert(fixture.run("r1", "/page/1").has_value());
   fixture.leafs.behaviour["desk-0"] = {};
-  fixture.dispatcher.on_leaf(desk_0(2000));
+  fixture.dispatcher.on_leaf_updated(desk_0(2000));
   cr_assert(fixture.run("r2", "/page/1").has_value());
   cr_assert(fixture.leafs.runs["desk-0"].size() == 1);
 }
@@ -90,7 +90,7 @@
 // Guards against applying reports on a previous run to the current one.
 Test(leaf_restart, a_report_on_the_previous_run_is_ignored) {
   RestartFixture fixture;
-  fixture.dispatcher.on_leaf(desk_0(2000));
+  fixture.dispatcher.on_leaf_updated(desk_0(2000));
   fixture.dispatcher.on_report({.run = {"desk-0", milliseconds(1000)},
                                 .samples = 50,
                                 .excess = 20,
@@ -110,7 +110,7 @@
   RestartFixture fixture;
   directory::LeafEntry moved = desk_0(2000);
   moved.service = "s1";
-  fixture.dispatcher.on_leaf(moved);
+  fixture.dispatcher.on_leaf_updated(moved);
   for (const char* id : {"r1", "r2", "r3", "r4"}) {
     cr_assert(fixture.run(id, "/page/1").has_value());
   }
@@ -122,7 +122,7 @@
   cr_assert(fixture.run("r1", "/page/1").has_value());
   directory::LeafEntry moved = desk_0(1000);
   moved.port = 9;
-  fixture.dispatcher.on_leaf(moved);
+  fixture.dispatcher.on_leaf_updated(moved);
   cr_assert(fixture.run("r2", "/page/1").has_value());
   cr_assert(fixture.leafs.dials["desk-0"] == 2);
 }
@@ -133,7 +133,7 @@
   directory::LeafEntry warm = desk_0(1000);
   warm.warmup_left = milliseconds(500);
   warm.sequence = 7;
-  fixture.dispatcher.on_leaf(warm);
+  fixture.dispatcher.on_leaf_updated(warm);
   cr_assert(fixture.run("r2", "/page/1").has_value());
   cr_assert(fixture.leafs.dials["desk-0"] == 1);
 }
@@ -150,8 +150,8 @@
       caller->cancel();
     }
     fixture.loop.poll();
-    fixture.dispatcher.on_leaf(desk_0(2000 + 2 * i));
-    fixture.dispatcher.on_leaf(desk_0(2001 + 2 * i));
+    fixture.dispatcher.on_leaf_updated(desk_0(2000 + 2 * i));
+    fixture.dispatcher.on_leaf_updated(desk_0(2001 + 2 * i));
   }
   cr_assert(fixture.run_until([&] { return fixture.outcomes.size() == 40; }));
 }
