--- a/ibismux/query/active_query.h
+++ b/ibismux/query/active_query.h
@@ -17,7 +17,7 @@
 
 namespace ibismux::query {
 
-/// What every query uses; all outlive it.
+/// Objects that all queries share. All of them outlive every query.
 struct QueryContext {
   PolicyTable& table;
   gateway::LeafCaller& leafs;
@@ -26,26 +26,28 @@
   FractionBudget& retries;
 };
 
-/// A query under way: performs what its `Gather` decides, with one timer.
+/// A running query: performs the actions that its `Gather` decides on, and
+/// waits on one timer.
 ///
-/// Belongs to the event loop of its caller; not thread safe. Sinks of calls
-/// keep it alive until the last one has ended.
+/// Belongs to the event loop of its caller; not thread safe. The sinks of its
+/// calls keep it alive until the last call has ended.
 class ActiveQuery : public std::enable_shared_from_this<ActiveQuery> {
  public:
-  /// @param executor Of the loop that the query stays on.
+  /// @param executor Executor of the event loop that the query runs on.
   ActiveQuery(QueryContext context,
               QueryRequest request,
               std::shared_ptr<ServiceState> service,
               const GatherPlan& plan,
               boost::asio::any_io_executor executor);
 
-  /// Scatters over the shards of `pin`. Precondition: called once.
+  /// Sends the first calls to all shards of `pin`. Precondition: called once.
   /// @param cancel May be null.
   void start(Pin pin,
              Priority priority,
              const std::shared_ptr<http::CancelToken>& cancel);
 
-  /// Waits for the end. Precondition: started; called once.
+  /// Waits until the query has ended and returns its result. Precondition:
+  /// started; called once.
   [[nodiscard]] static Task<Result<QueryAnswer>> finish(
       std::shared_ptr<ActiveQuery> query);
 
@@ -53,7 +55,8 @@
   void on_answer(const gateway::LeafAnswer& answer);
   void on_cancel();
   void on_time();
-  /// Starts again if shards lost the snapshot and a newer one is known here.
+  /// Restarts the query if shards no longer hold the pinned snapshot and this
+  /// daemon knows a newer one.
   void restart_if_wanted(TimePoint now);
   void perform();
   void send(const std::vector<GatherCall>& calls);
--- a/ibismux/query/call_id_source.h
+++ b/ibismux/query/call_id_source.h
@@ -6,17 +6,17 @@
 
 namespace ibismux::query {
 
-/// Hands out call ids that no other call of the fleet ever had.
+/// Allocates call ids that are unique in the fleet and never reused.
 ///
 /// Thread safe.
 class CallIdSource {
  public:
-  /// @param origin Random number of this run of the daemon.
+  /// @param origin Random number that identifies this run of the daemon.
   explicit CallIdSource(std::uint64_t origin) noexcept : prefix(origin) {}
 
   [[nodiscard]] std::uint64_t origin() const noexcept { return this->prefix; }
 
-  /// @return The first of `count` sequence numbers in a row.
+  /// @return The first of `count` consecutive sequence numbers.
   [[nodiscard]] std::uint64_t reserve(std::uint64_t count) noexcept {
     return this->next.fetch_add(count, std::memory_order_relaxed);
   }
--- a/ibismux/query/deadline_policy.h
+++ b/ibismux/query/deadline_policy.h
@@ -8,21 +8,22 @@
 
 namespace ibismux::query {
 
-/// How a query trades time against coverage.
+/// Decides whether a query waits for more shards, answers or fails.
 ///
-/// Without `answer_by` it waits for full coverage up to the deadline. With it,
-/// a partial answer goes out from then on, as soon as it covers enough.
+/// Without `answer_by` a query waits for full coverage up to the deadline. With
+/// it, a partial answer is sent from that time on, as soon as it reaches the
+/// minimum coverage.
 ///
 /// Immutable; thread safe.
 class DeadlinePolicy {
  public:
   enum class Verdict : unsigned char {
     kWait,
-    kAnswer,  ///< Goes out now, whole or partial.
-    kFail,    ///< Covers too little, and waiting can't change that.
+    kAnswer,  ///< Send the answer now, whether full or partial.
+    kFail,    ///< The minimum coverage can no longer be reached.
   };
 
-  /// @param min_coverage Share of the shards, 0 to 1.
+  /// @param min_coverage Share of the shards that an answer needs, 0 to 1.
   DeadlinePolicy(TimePoint deadline,
                  std::optional<TimePoint> answer_by,
                  double min_coverage)
@@ -30,9 +31,9 @@
         answer_by(answer_by),
         min_coverage(min_coverage) {}
 
-  /// @param contributed Shards merged.
-  /// @param open Shards that may still contribute.
-  /// @param total All shards of the snapshot.
+  /// @param contributed Number of shards merged so far.
+  /// @param open Number of shards that may still contribute.
+  /// @param total Number of shards in the snapshot.
   [[nodiscard]] Verdict judge(TimePoint now,
                               std::size_t contributed,
                               std::size_t open,
@@ -50,15 +51,17 @@
                                                             : Verdict::kWait;
   }
 
-  /// When `judge` may change its verdict with no new answer.
+  /// When the result of `judge` may next change without a new answer.
   [[nodiscard]] TimePoint next_change(TimePoint now) const noexcept {
     return this->answer_by.has_value() && now < *this->answer_by
                ? *this->answer_by
                : this->deadline_at;
   }
 
-  /// The latest that a restart may end, where `reachable` shards would
-  /// contribute without one: an answer that covers enough isn't put at risk.
+  /// The time by which a restart has to end. `reachable` is the number of
+  /// shards that can contribute without a restart: if they reach the minimum
+  /// coverage, a restart must end by `answer_by`, so that it doesn't put a
+  /// sufficient answer at risk.
   [[nodiscard]] TimePoint restart_limit(std::size_t reachable,
                                         std::size_t total) const noexcept {
     return this->answer_by.has_value() && this->enough(reachable, total)
@@ -66,7 +69,7 @@
                : this->deadline_at;
   }
 
-  /// Whether so many shards make an answer.
+  /// Whether `shards` of `total` shards reach the minimum coverage.
   [[nodiscard]] bool enough(std::size_t shards,
                             std::size_t total) const noexcept {
     return static_cast<double>(shards) + kSlack >=
@@ -78,7 +81,7 @@
   }
 
  private:
-  /// Takes in rounding, so that 3 of 5 meets 0.6.
+  /// Tolerance for rounding errors, so that 3 of 5 shards meet 0.6.
   static constexpr double kSlack = 1e-9;
 
   TimePoint deadline_at;
--- a/ibismux/query/gather.cc
+++ b/ibismux/query/gather.cc
@@ -16,14 +16,16 @@
 
 using std::chrono::milliseconds;
 
-/// When a caller should come back where no leaf said.
+/// `retry_after` of a failed query if no leaf gave one.
 constexpr milliseconds kUsualRetryAfter{250};
-/// First wait before a replica that refused is asked again; doubles each time.
+/// Base of the exponential backoff before a replica that has already had a
+/// call is retried; doubles with each attempt.
 constexpr milliseconds kBackoff{4};
-/// Replicas beyond these are not told apart as tried or not.
+/// Size of the bit set of tried replicas. Replicas beyond it always count as
+/// untried.
 constexpr std::uint32_t kMostReplicas = 64;
 
-/// Whether the same call may go better elsewhere or later.
+/// Whether the same call may succeed on another replica or later.
 bool retriable(ErrorKind kind) noexcept {
   switch (kind) {
     case ErrorKind::kOverloaded:
@@ -200,9 +202,9 @@
 }
 
 Gather::Call* Gather::outstanding_call(const CallId& id) noexcept {
-  // A call id below the range belongs to the snapshot before a restart. Merging
-  // its answer would mix two snapshots, which shows as hits that contradict
-  // each other; its range is forgotten, so it can't match.
+  // A call id below the current range belongs to the snapshot before a restart.
+  // Merging its answer would mix two snapshots and return hits that contradict
+  // each other. It can't match: the unsigned difference is out of range.
   const std::uint64_t offset = id.sequence - this->first_sequence;
   if (offset >= this->calls.size()) {
     ++this->tally.foreign;
--- a/ibismux/query/gather.h
+++ b/ibismux/query/gather.h
@@ -16,59 +16,64 @@
 
 namespace ibismux::query {
 
-/// One query from its first call to its answer, without sockets or clock.
+/// State machine of one query from its first call to its answer. It uses no
+/// sockets and no clock.
 ///
-/// Its owner feeds it answers and time, and after each input performs what
-/// `take_starts` and `take_cancels` give, until `finished`.
+/// The owner passes in answers and the time. After each input it starts the
+/// calls from `take_starts` and cancels those from `take_cancels`, until
+/// `finished` returns true.
 ///
 /// Not thread safe; belongs to one event loop.
 class Gather {
  public:
-  /// How many calls a shard may get, first, hedge and retries together.
+  /// The most calls to one shard, including the first call, hedges and retries.
   static constexpr std::uint32_t kMostAttempts = 4;
 
   Gather(const GatherPlan& plan, GatherPolicies policies);
 
-  /// How many call ids a query of `pin` may need.
+  /// The most call ids that a query of `pin` needs.
   [[nodiscard]] static std::uint64_t ids_needed(const Pin& pin) noexcept;
 
   /// @name Inputs
   /// @{
 
-  /// Scatters over the shards of `pin`. Called once, or a second time to
-  /// restart on a newer snapshot: then every call of the older one is given up
-  /// and nothing of it stays.
-  /// @param first_sequence First of `ids_needed(pin)` call ids of its own.
+  /// Starts a call to each shard of `pin`. Called once, or a second time to
+  /// restart on a newer snapshot: then all calls for the older snapshot are
+  /// abandoned and its hits are discarded.
+  /// @param first_sequence First of `ids_needed(pin)` consecutive call ids that
+  /// are reserved for this start.
   void start(Pin pin, std::uint64_t first_sequence, TimePoint now);
 
-  /// A call ended. `answer` is merged only if it answers a call that is still
-  /// wanted, which binds it to the pinned snapshot.
+  /// A call ended. `answer` is merged only if its call is still outstanding,
+  /// which guarantees that it belongs to the pinned snapshot.
   void on_answer(const gateway::LeafAnswer& answer, TimePoint now);
 
-  /// An answer came that bears another daemon's call id.
+  /// An answer arrived with a call id of another daemon.
   void on_foreign() noexcept { ++this->tally.foreign; }
 
+  /// Starts due retries and hedges and checks the deadlines. Called when
   /// `next_wake()` has passed.
   void on_time(TimePoint now);
 
-  /// The caller is gone.
+  /// The caller has cancelled the query.
   void on_cancel(TimePoint now);
 
   /// @}
-  /// @name What the owner has to do
+  /// @name Actions for the owner
   /// @{
   [[nodiscard]] std::vector<GatherCall> take_starts() noexcept;
   [[nodiscard]] std::vector<std::uint64_t> take_cancels() noexcept;
   [[nodiscard]] TimePoint next_wake() const noexcept { return this->wake; }
-  /// Whether shards have lost the pinned snapshot and a restart on a newer one
-  /// would still end in time. The owner looks for one now and at each wake.
+  /// Whether shards no longer hold the pinned snapshot and a restart on a newer
+  /// one would still end in time. While this is true, the owner looks for a
+  /// newer snapshot after each answer and each wake-up.
   [[nodiscard]] bool wants_restart(TimePoint now) const noexcept;
   /// @}
 
   /// @name Result
   /// @{
   [[nodiscard]] bool finished() const noexcept { return this->is_finished; }
-  /// Precondition: finished, and not taken before.
+  /// Precondition: finished, and not called before.
   [[nodiscard]] Result<QueryAnswer> take_result();
   [[nodiscard]] const GatherCounts& counts() const noexcept {
     return this->tally;
@@ -94,7 +99,7 @@
     std::uint8_t outstanding = 0;
     std::uint8_t hedges = 0;
     bool snapshot_gone = false;
-    std::uint64_t tried = 0;  ///< Bit i: replica i has had a call.
+    std::uint64_t tried = 0;  ///< Bit i is set once replica i got a call.
     TimePoint last_start{};
     std::optional<TimePoint> retry_at;
   };
@@ -102,9 +107,11 @@
   /// @name Calls
   /// @{
   void start_call(std::uint32_t shard, std::uint32_t leaf, TimePoint now);
-  /// Calls a replica that has had no call yet. @return False if none is left.
+  /// Starts a call to a replica that has had none yet. @return False if there
+  /// is no such replica.
   bool start_on_untried(std::uint32_t shard, TimePoint now);
-  /// The same, but begins anew with all of them once each has had one.
+  /// As `start_on_untried`, but once all replicas have had a call, they all
+  /// become candidates again.
   bool start_on_any(std::uint32_t shard, TimePoint now);
   [[nodiscard]] bool has_untried(std::uint32_t shard);
   void give_up(std::uint64_t offset, TimePoint now);
@@ -117,12 +124,15 @@
   Call* outstanding_call(const CallId& id) noexcept;
   void on_body(Call& call, const gateway::LeafAnswer& answer, TimePoint now);
   void on_error(Call& call, const Error& error, TimePoint now);
-  /// The last call of an open shard has failed.
+  /// The last outstanding call of an open shard has failed: schedules a retry
+  /// or fails the shard.
   void on_shard_out(std::uint32_t shard, const Error& error, TimePoint now);
-  /// No replica of an open shard holds the pinned snapshot. It stays open: a
-  /// restart on a newer one may still succeed.
+  /// No replica of an open shard holds the pinned snapshot. The shard stays
+  /// open, since a restart on a newer snapshot may still succeed.
   void lose_snapshot(std::uint32_t shard, TimePoint now);
   void fail_shard(std::uint32_t shard, ErrorKind reason);
+  /// Fails the shards without the pinned snapshot once a restart would be too
+  /// late.
   void settle_gone(TimePoint now);
   /// @}
 
@@ -131,7 +141,7 @@
   void hedge(TimePoint now);
   void retry_due(TimePoint now);
   [[nodiscard]] bool may_hedge(const ShardProgress& progress) const noexcept;
-  /// When an open shard is worth its next hedge.
+  /// When the next hedge of an open shard is due.
   [[nodiscard]] static TimePoint hedge_at(const ShardProgress& progress,
                                           Duration delay) noexcept;
   [[nodiscard]] bool restart_in_time(TimePoint now) const noexcept;
@@ -142,7 +152,7 @@
 
   [[nodiscard]] QueryAnswer answer();
   [[nodiscard]] Error failure(TimePoint now) const;
-  /// Missing shards by reason, in words: "2 peer_unavailable".
+  /// The number of failed shards by reason, such as ", 2 peer_unavailable".
   [[nodiscard]] std::string missing_in_words() const;
   [[nodiscard]] const release::ShardView& shard_view(
       std::uint32_t shard) const noexcept;
@@ -152,16 +162,16 @@
   pcg64 random;
   Pin pinned;
   std::uint64_t first_sequence = 0;
-  std::vector<Call> calls;  ///< At their sequence less `first_sequence`.
+  std::vector<Call> calls;  ///< Indexed by sequence - `first_sequence`.
   std::vector<ShardProgress> shards;
-  std::vector<std::uint32_t> candidates;  ///< Scratch of a choice.
+  std::vector<std::uint32_t> candidates;  ///< Buffer for replica choices.
   HitMerger merger;
   LeafWait leaf_wait;
   std::size_t merged = 0;
   std::size_t open = 0;
-  std::size_t gone = 0;  ///< Open shards without the pinned snapshot.
+  std::size_t gone = 0;  ///< Number of open shards without the snapshot.
   TimePoint gone_since;
-  bool maybe_run = false;  ///< Some leaf may have run a part of the query.
+  bool maybe_run = false;  ///< A leaf may have run a part of the query.
   std::chrono::milliseconds retry_after;
   std::vector<GatherCall> starts;
   std::vector<std::uint64_t> cancels;
--- a/ibismux/query/gather_plan.cc
+++ b/ibismux/query/gather_plan.cc
@@ -11,10 +11,11 @@
 
 using std::chrono::milliseconds;
 
-/// What part of the time that a caller waits is kept for the way back, and the
-/// most of it. An answer sent as the caller gives up comes too late, though it
-/// might have been a partial one in time.
+/// The caller's deadline divided by this is reserved for sending the response.
+/// Otherwise an answer sent right at the deadline would arrive too late, where
+/// a partial one could have arrived in time.
 constexpr int kWayBackPart = 20;
+/// Upper limit of the reserved time.
 constexpr milliseconds kMostWayBack{10};
 
 milliseconds allowed_time(const QueryRequest& request,
--- a/ibismux/query/gather_timing.cc
+++ b/ibismux/query/gather_timing.cc
@@ -1,5 +1,5 @@
-// What a query does as time passes: retries that are due, hedges, a restart,
-// the end at `answer_by` or the deadline.
+// The time-dependent part of `Gather`: due retries, hedges, restarts, and the
+// end of the query at `answer_by` or the deadline.
 
 #include <algorithm>
 #include <utility>
@@ -14,18 +14,20 @@
 
 using std::chrono::milliseconds;
 
-/// How often a newer release is looked for while shards lack the pinned
-/// snapshot, and the closest that two tries for a hedge may lie.
+/// Interval of the checks for a newer release while shards lack the pinned
+/// snapshot.
 constexpr milliseconds kReleasePoll{10};
+/// Shortest interval between two attempts to start a hedge.
 constexpr milliseconds kHedgePoll{1};
-/// How long a newer snapshot is waited for where the pinned one gives an answer
-/// that covers enough. A leaf that has lost its index would otherwise hold up
-/// every query until its deadline.
+/// How long a query waits for a newer snapshot if the pinned one already gives
+/// the minimum coverage. Without this limit, a leaf that has lost its index
+/// would delay every query until its deadline.
 constexpr milliseconds kNewerSnapshotWait{50};
-/// What a restart is taken to need while the service's latency is unknown.
+/// Assumed duration of a restart while the latency of the service is unknown.
 constexpr milliseconds kUsualRestart{10};
-/// The most hedges of one shard. The second goes to a replica that is at it
-/// already where there is no third: a call may be slow where the leaf is not.
+/// The most hedges of one shard. If there is no third replica, the second hedge
+/// goes to a replica that already has a call: one call may be slow although the
+/// leaf as a whole is not.
 constexpr std::uint8_t kMostHedges = 2;
 
 }  // namespace
--- a/ibismux/query/hit_merger.cc
+++ b/ibismux/query/hit_merger.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Whether `a` stands before `b` in an answer.
+/// Whether hit `a` ranks before hit `b` in an answer.
 bool before(double score_a,
             std::string_view id_a,
             double score_b,
--- a/ibismux/query/hit_merger.h
+++ b/ibismux/query/hit_merger.h
@@ -11,28 +11,28 @@
 
 namespace ibismux::query {
 
-/// Keeps the best hits of many leaf answers.
+/// Merges the hits of many leaf answers and keeps the best ones.
 ///
 /// Not thread safe; belongs to one query.
 class HitMerger {
  public:
-  /// @param most How many hits are kept.
+  /// @param most The most hits to keep.
   explicit HitMerger(std::size_t most) : most(most) {}
 
-  /// Takes in the hits of `body`, a leaf's answer as docs/LEAFS.md gives it.
-  /// @return False, with nothing taken in, if the body is malformed.
+  /// Merges the hits of `body`, a leaf's answer in the format of docs/LEAFS.md.
+  /// @return False if the body is malformed; then no hit is merged.
   [[nodiscard]] bool merge(std::string_view body, const std::string& shard);
 
-  /// Forgets every hit: the query starts again on another snapshot.
+  /// Discards all hits. Used when the query restarts on another snapshot.
   void clear() noexcept { this->heap.clear(); }
 
-  /// The hits by falling score, then by id; leaves the merger empty.
+  /// Returns the hits by descending score, then by id. Leaves the merger empty.
   [[nodiscard]] std::vector<Hit> take();
 
  private:
   std::size_t most;
   HitReader reader;
-  std::vector<Hit> heap;  ///< A heap whose front is the worst hit kept.
+  std::vector<Hit> heap;  ///< Heap with the worst kept hit at the front.
 };
 
 }  // namespace ibismux::query
--- a/ibismux/query/hit_reader.cc
+++ b/ibismux/query/hit_reader.cc
@@ -12,7 +12,7 @@
 using json::error_code;
 using json::string_view;
 
-/// A part of the strings in a row.
+/// A range of the concatenated strings.
 struct Span {
   std::size_t begin = 0;
   std::size_t size = 0;
@@ -28,11 +28,12 @@
   }
 };
 
-/// Takes the parser's events without building a tree: most of what an answer
-/// costs the processor is its parsing.
+/// Handles parser events without building a document tree, since parsing is
+/// most of the CPU cost of an answer.
 class HitHandler {
  public:
-  // Names that the parser asks for; the size of the body bounds them all.
+  // Names that `json::basic_parser` requires. The size of the body already
+  // bounds each of them.
   static constexpr std::size_t max_object_size = SIZE_MAX;  // NOLINT
   static constexpr std::size_t max_array_size = SIZE_MAX;   // NOLINT
   static constexpr std::size_t max_key_size = SIZE_MAX;     // NOLINT
@@ -142,9 +143,9 @@
  private:
   enum class Kind : unsigned char { kObject, kArray, kScalar };
 
-  /// How many containers are open around the root's members, and around a
-  /// hit's: the root, the list, the hit.
+  /// Nesting depth of the root object's members.
   static constexpr int kRootDepth = 1;
+  /// Nesting depth of a hit's members: inside the root, the list and the hit.
   static constexpr int kHitDepth = 3;
 
   [[nodiscard]] bool in_hit() const noexcept {
@@ -160,7 +161,8 @@
     return this->on_other(Kind::kScalar);
   }
 
-  /// A value that is no part of a hit. Malformed where one has to be.
+  /// Handles a value that isn't part of a hit. The answer is malformed if the
+  /// format requires a list, a hit or a member of a hit at this place.
   bool on_other(Kind kind) {
     if (this->depth == 0) {
       this->malformed |= kind != Kind::kObject;
@@ -177,9 +179,9 @@
 
   int depth = 0;
   bool in_hits = false;
-  std::string key;  ///< Of the value that comes, down to a hit's members.
+  std::string key;  ///< Key of the next value, down to a hit's members.
   std::string next_key;
-  std::size_t string_size = 0;  ///< Of the parts that have come so far.
+  std::size_t string_size = 0;  ///< Size of the string's parts so far.
 };
 
 }  // namespace
--- a/ibismux/query/hit_reader.h
+++ b/ibismux/query/hit_reader.h
@@ -8,24 +8,24 @@
 
 namespace ibismux::query {
 
-/// A hit as it stands in a leaf's answer, not yet copied.
+/// A hit of a leaf's answer. Its strings refer to buffers of the `HitReader`.
 struct HitRef {
   std::string_view id;
   double score = 0;
   std::string_view text;
 };
 
-/// Reads the hits out of a leaf's answer as docs/LEAFS.md gives it.
+/// Parses the hits of a leaf's answer in the format of docs/LEAFS.md.
 ///
-/// Not thread safe. Kept by its owner, so that its buffers serve many answers.
+/// Not thread safe. Reusing one reader for many answers reuses its buffers.
 class HitReader {
  public:
-  /// @return Every hit, valid until the next call; nothing if `body` is
+  /// @return All hits, valid until the next call; `std::nullopt` if `body` is
   /// malformed.
   [[nodiscard]] std::optional<std::vector<HitRef>> read(std::string_view body);
 
  private:
-  std::string texts;  ///< The strings of all hits in a row.
+  std::string texts;  ///< The concatenated strings of all hits.
 };
 
 }  // namespace ibismux::query
--- a/ibismux/query/latency_quantile.cc
+++ b/ibismux/query/latency_quantile.cc
@@ -12,7 +12,7 @@
 using LogAxis =
     histograms::axis::regular<double, histograms::axis::transform::log>;
 
-/// Bins about 6% wide from a twentieth of a millisecond to a minute.
+/// Logarithmic bins, each about 6% wide, from 0.05 ms to one minute.
 constexpr double kLowestMs = 0.05;
 constexpr double kHighestMs = 60'000;
 constexpr unsigned kBins = 240;
--- a/ibismux/query/latency_quantile.h
+++ b/ibismux/query/latency_quantile.h
@@ -9,13 +9,13 @@
 
 namespace ibismux::query {
 
-/// A quantile of the recent latencies. Older ones lose half of their
-/// weight each time that `kSamplesPerHalving` new ones have come.
+/// Estimates quantiles of recent latencies. The weight of all samples is halved
+/// after every `kSamplesPerHalving` new ones.
 ///
 /// Not thread safe.
 class LatencyQuantile {
  public:
-  /// Until so many samples are in there is no quantile.
+  /// Number of samples below which no quantile is given.
   static constexpr std::uint32_t kFewestSamples = 30;
   static constexpr std::uint32_t kSamplesPerHalving = 8192;
 
--- a/ibismux/query/leaf_stats.cc
+++ b/ibismux/query/leaf_stats.cc
@@ -7,19 +7,20 @@
 
 namespace {
 
-/// Weight of the newest latency in the moving average.
+/// Weight of the newest sample in the moving average of latencies.
 constexpr double kLatencyWeight = 0.1;
-/// Old latencies lose half of what sets them apart in this time.
+/// Half-life of the average latency since its last update.
 constexpr std::chrono::duration<double> kLatencyHalfLife{2.0};
-/// Failures are forgotten by half in this time.
+/// Half-life of the failure count since its last update.
 constexpr std::chrono::duration<double> kFailureHalfLife{1.0};
-/// What an untried leaf is taken to need, in milliseconds.
+/// Base latency of the cost, in milliseconds. It is the assumed latency of a
+/// leaf without samples.
 constexpr double kUsualLatencyMs = 1.0;
-/// What the first failure adds, in milliseconds; each further one doubles it.
-/// It has to stand against the queue of the replica that serves: a leaf that
-/// refuses at once would otherwise look quick and idle.
+/// Cost added by the first failure, in milliseconds; doubles with each further
+/// one. It must outweigh the queue of a replica that does serve: otherwise a
+/// leaf that refuses calls at once would look fast and idle.
 constexpr double kFailureMs = 50.0;
-/// More failures than these make a leaf no worse.
+/// Upper limit of the failure count.
 constexpr double kMostFailures = 8.0;
 
 double fade(Duration::rep since,
@@ -61,9 +62,9 @@
   if (to_ms(elapsed) >= known) {
     this->learn(elapsed, now);
   } else if (to_ms(elapsed) >= faded) {
-    // A slow leaf whose calls are all hedged never finishes one. Were its
-    // latency let fade, it would be asked again and again, and each time need
-    // a hedge; this call bears out what was known.
+    // A slow leaf whose calls are all hedged never completes one. If its
+    // latency decayed, it would be chosen again and again and need a hedge each
+    // time. This call confirms the known latency, so the decay starts anew.
     this->learned_at.store(now.time_since_epoch().count(),
                            std::memory_order_relaxed);
   }
--- a/ibismux/query/leaf_stats.h
+++ b/ibismux/query/leaf_stats.h
@@ -8,10 +8,11 @@
 
 namespace ibismux::query {
 
-/// What this daemon's own calls recently showed of one leaf. What the leaf or
-/// its health page says of itself is not asked: it lags or misleads.
+/// Statistics of this daemon's own recent calls to one leaf. What the leaf or
+/// its health page reports isn't used, since it can be outdated or misleading.
 ///
-/// Thread safe. Updates race harmlessly: a lost one costs a little accuracy.
+/// Thread safe. Concurrent updates may overwrite each other, which costs only
+/// a little accuracy.
 class LeafStats {
  public:
   void call_started() noexcept {
@@ -24,17 +25,17 @@
   /// A call was refused or lost.
   void call_failed(TimePoint now) noexcept;
 
-  /// A call was given up after `elapsed`: it would have taken at least that.
+  /// A call was abandoned after `elapsed`, a lower bound of its latency.
   void call_abandoned(Duration elapsed, TimePoint now) noexcept;
 
-  /// Calls that have not ended.
+  /// The number of calls that have not ended.
   [[nodiscard]] std::int32_t calls_outstanding() const noexcept {
     return this->outstanding.load(std::memory_order_relaxed);
   }
 
-  /// How much one more call is likely to cost there; lower is better. Rises
-  /// with latency, calls outstanding and recent failures; old knowledge fades,
-  /// so that a leaf that was slow is tried again.
+  /// Estimated cost of one more call to this leaf; lower is better. Grows with
+  /// latency, outstanding calls and recent failures. Old samples decay, so that
+  /// a leaf that was slow is tried again.
   [[nodiscard]] double cost(TimePoint now) const noexcept;
 
  private:
--- a/ibismux/query/pin.h
+++ b/ibismux/query/pin.h
@@ -9,13 +9,13 @@
 
 namespace ibismux::query {
 
-/// One snapshot of one release, held for as long as a query reads it. All that
-/// a query touches comes from here, so a release that is swapped meanwhile
-/// can't mix into its answer.
+/// A snapshot of a release that is kept alive while a query uses it. The query
+/// reads only from here, so a release that comes into force meanwhile can't mix
+/// into its answer.
 struct Pin {
   std::shared_ptr<const release::Release> release;
   std::shared_ptr<const release::SnapshotView> snapshot;
-  /// At the same positions as the release's leafs.
+  /// In the same order as the release's leafs.
   std::shared_ptr<const std::vector<std::shared_ptr<LeafStats>>> leafs;
 };
 
--- a/ibismux/query/policy_table.cc
+++ b/ibismux/query/policy_table.cc
@@ -15,7 +15,7 @@
   return leaf.name < name;
 }
 
-/// What `old` holds of the leaf `name`, or something fresh.
+/// The statistics of the leaf `name` in `old`, or new ones if it has none.
 std::shared_ptr<LeafStats> carry_over(const PolicySet& old,
                                       const std::string& name) {
   const auto& leafs = old.release->leafs;
--- a/ibismux/query/policy_table.h
+++ b/ibismux/query/policy_table.h
@@ -19,23 +19,22 @@
 
 class LeafStats;
 
-/// What queries of one service share.
+/// State that all queries of one service share.
 struct ServiceState {
   ServicePolicy policy;
   std::unique_ptr<ServiceMetrics> metrics;
 };
 
-/// A release with what has been learnt of its leafs and services. Immutable but
+/// A release with the statistics of its leafs and services. Immutable except
 /// for the statistics themselves.
 struct PolicySet {
   std::shared_ptr<const release::Release> release;
-  /// At the same positions as the release's leafs.
+  /// In the same order as the release's leafs.
   std::shared_ptr<const std::vector<std::shared_ptr<LeafStats>>> leafs;
   std::map<std::string, std::shared_ptr<ServiceState>, std::less<>> services;
 };
 
-/// Carries what has been learnt of leafs and services from one release to the
-/// next, by their names.
+/// Keeps the statistics of leafs and services across releases, by their names.
 ///
 /// Thread safe.
 class PolicyTable {
@@ -43,11 +42,11 @@
   /// Both outlive the table.
   PolicyTable(const RcuCell<release::Release>& releases, QueryMetrics& metrics);
 
-  /// The newest release, with its statistics. Costs two reference counts unless
-  /// the release has changed.
+  /// The newest release with its statistics. Costs two reference count updates
+  /// unless the release has changed.
   [[nodiscard]] std::shared_ptr<const PolicySet> current();
 
-  /// The newest snapshot of `service`, if its sequence is above `than`.
+  /// The newest snapshot of `service` if its sequence is greater than `than`.
   [[nodiscard]] std::optional<Pin> newer_pin(const std::string& service,
                                              std::uint64_t than);
 
@@ -57,7 +56,7 @@
   const RcuCell<release::Release>& releases;
   QueryMetrics& metrics;
   RcuCell<PolicySet> sets;
-  std::mutex mutex;  ///< Held by the one that rebuilds.
+  std::mutex mutex;  ///< Serializes `rebuild`.
 };
 
 }  // namespace ibismux::query
--- a/ibismux/query/query_answer.h
+++ b/ibismux/query/query_answer.h
@@ -10,19 +10,19 @@
 
 namespace ibismux::query {
 
-/// A shard whose answer is not in the result, and why.
+/// A shard whose answer is not part of the result, and the reason.
 struct MissingShard {
   std::string shard;
   ErrorKind reason = ErrorKind::kInternal;
 };
 
-/// Exactly which shards an answer was drawn from.
+/// The shards that contributed to an answer and those that didn't.
 struct Coverage {
   std::size_t total = 0;
   std::vector<std::string> contributed;
   std::vector<MissingShard> missing;
 
-  /// 0 to 1; 1 where there are no shards.
+  /// Share of shards that contributed, 0 to 1; 1 if there are no shards.
   [[nodiscard]] double share() const noexcept {
     return this->total == 0 ? 1.0
                             : static_cast<double>(this->contributed.size()) /
@@ -30,26 +30,26 @@
   }
 };
 
-/// One result.
+/// One result item of a query.
 struct Hit {
   std::string id;
   double score = 0;
   std::string text;
-  std::string shard;  ///< Whose answer held it.
+  std::string shard;  ///< The shard that returned it.
 };
 
-/// The merged result of one query, all of one snapshot.
+/// The merged result of one query. All hits come from one snapshot.
 struct QueryAnswer {
   std::string snapshot;
   Coverage coverage;
-  std::vector<Hit> hits;  ///< By falling score, then by id.
+  std::vector<Hit> hits;  ///< By descending score, then by id.
 
-  /// What the query cost the leafs.
+  /// Numbers of calls sent to leafs.
   std::uint32_t leaf_calls = 0;
   std::uint32_t hedges = 0;
   std::uint32_t retries = 0;
-  std::uint32_t restarts = 0;  ///< Whole restarts on a newer snapshot.
-  LeafWait leaf_wait;          ///< Of the calls that were merged.
+  std::uint32_t restarts = 0;  ///< Restarts on a newer snapshot.
+  LeafWait leaf_wait;          ///< Of the merged calls only.
 };
 
 }  // namespace ibismux::query
--- a/ibismux/query/query_engine.cc
+++ b/ibismux/query/query_engine.cc
@@ -15,11 +15,11 @@
 
 using std::chrono::milliseconds;
 
-/// The most retries that may be saved up, over all services.
+/// Capacity of the retry budget that all services share, in retries.
 constexpr double kRetryBurst = 100;
-/// Retries that the first queries after a start may use.
+/// Retries available right after a start.
 constexpr double kFirstRetries = 10;
-/// When a caller should come back to a daemon that has no configuration.
+/// `retry_after` while there is no configuration or no servable snapshot.
 constexpr milliseconds kNotReadyRetry{1000};
 
 tl::unexpected<Error> not_ready(std::string message) {
--- a/ibismux/query/query_engine.h
+++ b/ibismux/query/query_engine.h
@@ -17,12 +17,14 @@
 
 namespace ibismux::query {
 
-/// Runs queries: pins a snapshot, scatters, hedges, gathers and merges.
+/// Runs queries: pins a snapshot, calls its shards with hedges and retries, and
+/// merges their answers.
 ///
-/// Thread safe; a query stays on the event loop it was started on.
+/// Thread safe; a query stays on the event loop on which it was started.
 class QueryEngine {
  public:
-  /// @param origin Random number of this run of the daemon; prefix of call ids.
+  /// @param origin Random number that identifies this run of the daemon; prefix
+  /// of call ids.
   /// All references outlive the engine.
   QueryEngine(std::uint64_t origin,
               const RcuCell<release::Release>& releases,
@@ -30,7 +32,7 @@
               prometheus::Registry& metrics);
   ~QueryEngine();
 
-  /// Answers `request`, or says why not. Gives up at once when `cancel` fires.
+  /// Runs `request`. Ends at once with kCancelled when `cancel` is cancelled.
   /// Errors: kNotFound, kNotReady, kDeadlineExceeded, kCoverageTooLow,
   /// kOverloaded, kCancelled.
   [[nodiscard]] Task<Result<QueryAnswer>> run(
--- a/ibismux/query/query_metrics.h
+++ b/ibismux/query/query_metrics.h
@@ -18,27 +18,27 @@
  public:
   virtual ~ServiceMetrics() = default;
 
-  /// A query ended.
+  /// Counts a query that has ended.
   virtual void query_ended(const Result<QueryAnswer>& result,
                            const GatherCounts& counts,
                            Duration took,
                            const ServicePolicy& policy) = 0;
 
-  /// An answer came for a query that has ended already.
+  /// Counts an answer that arrived after its query had ended.
   virtual void answer_after_end() = 0;
 };
 
-/// The metric families of queries. Thread safe.
+/// The query metrics of all services. Thread safe.
 class QueryMetrics {
  public:
-  /// @param metrics Outlives the object and all that it hands out.
+  /// @param metrics Outlives this object and all `ServiceMetrics` from it.
   explicit QueryMetrics(prometheus::Registry& metrics);
   ~QueryMetrics();
 
   [[nodiscard]] std::unique_ptr<ServiceMetrics> service(
       const std::string& name);
 
-  /// Tokens left in the retry budget that all services share.
+  /// Sets the number of tokens left in the shared retry budget of all services.
   void retry_tokens(double tokens);
 
  private:
--- a/ibismux/query/query_request.h
+++ b/ibismux/query/query_request.h
@@ -9,18 +9,19 @@
 
 namespace ibismux::query {
 
-/// One caller's query, checked for form by the caller interface.
+/// One caller's query, whose syntax the caller interface has validated.
 struct QueryRequest {
   std::string request_id;
   std::string service;
-  std::string caller;  ///< Who asks, for limits; "anonymous" where not said.
+  std::string caller;  ///< Caller's name for limits; "anonymous" if absent.
   TimePoint received;
-  /// What the caller allows; the service's own deadline where absent or longer.
+  /// Time that the caller allows. The service's own deadline applies if this is
+  /// absent or longer.
   std::optional<std::chrono::milliseconds> deadline;
   /// Overrides the service's `min_coverage`, 0 to 1.
   std::optional<double> min_coverage;
   std::size_t most_hits = 10;
-  std::shared_ptr<const std::string> body;  ///< Handed to leafs as it is.
+  std::shared_ptr<const std::string> body;  ///< Passed to leafs unchanged.
 };
 
 }  // namespace ibismux::query
--- a/ibismux/query/replica_choice.h
+++ b/ibismux/query/replica_choice.h
@@ -10,16 +10,16 @@
 
 namespace ibismux::query {
 
-/// Picks the replica of a shard that gets a call.
+/// Selects the replica of a shard that a call is sent to.
 ///
 /// Thread safe; holds no state.
 class ReplicaChoice {
  public:
   virtual ~ReplicaChoice() = default;
 
-  /// @param candidates Positions in the release's leafs; none of them leaving,
-  /// at least one.
-  /// @param random Uniform over all values.
+  /// @param candidates Indexes into the release's leafs. At least one; none of
+  /// these leafs is leaving.
+  /// @param random Uniformly distributed over all values of the type.
   /// @return One of the candidates.
   [[nodiscard]] virtual std::uint32_t choose(
       const Pin& pin,
@@ -28,7 +28,8 @@
       TimePoint now) const = 0;
 };
 
-/// Any replica, blindly: what the others are measured against.
+/// Selects a replica at random, regardless of cost. The baseline against which
+/// other choices are compared.
 class RandomReplica final : public ReplicaChoice {
  public:
   [[nodiscard]] std::uint32_t choose(const Pin& pin,
@@ -37,8 +38,8 @@
                                      TimePoint now) const override;
 };
 
-/// The cheaper of two replicas picked at random. Unlike the cheapest of all,
-/// it doesn't send every daemon to the same one at once.
+/// Selects the cheaper of two random replicas. Choosing the cheapest of all
+/// would make all daemons send to the same replica at once.
 class CheaperOfTwo final : public ReplicaChoice {
  public:
   [[nodiscard]] std::uint32_t choose(const Pin& pin,
--- a/ibismux/query/service_policy.cc
+++ b/ibismux/query/service_policy.cc
@@ -6,26 +6,29 @@
 
 namespace {
 
-/// The most hedges that may be saved up.
+/// Capacity of the hedge budget.
 constexpr double kHedgeBurst = 25;
-/// The delay is worked out anew after so many samples. A service that each
-/// daemon gets few queries of would otherwise go without hedges for seconds.
+/// Number of samples after which the hedge delay is recomputed. With a larger
+/// number, a service with few queries per daemon would go without hedges for
+/// seconds.
 constexpr std::uint32_t kSamplesPerRefresh = 32;
-/// What part of the budget the delay is meant to use up. With all of it gone,
-/// a straggler finds none left while calls that are only a little late have
-/// spent it.
+/// Share of the hedge budget that the delay is chosen to use. If it used all of
+/// it, calls that are only slightly late would spend the budget and leave none
+/// for stragglers.
 constexpr double kPlannedUse = 0.8;
-/// Weight of the newest call in the moving averages of load.
+/// Weight of the newest call in the moving averages of queueing and failures.
 constexpr double kLoadWeight = 0.01;
-/// The same for the newest hedge.
+/// Weight of the newest hedged shard in the moving average of won hedges.
 constexpr double kHedgeWeight = 0.02;
-/// Where fewer hedges than this win, fewer are sent: most would only add a call
-/// that ends after the one it stands in for. Some are always sent, or nobody
-/// would notice that they have come to help.
+/// If a smaller share of hedges than this wins, fewer are sent: most would only
+/// add a call that ends after the call that it duplicates.
 constexpr double kWorthwhile = 0.35;
+/// Lower limit of that reduction. Some hedges are always sent, so that it shows
+/// when they become useful again.
 constexpr double kLeastUse = 0.1;
-/// The share of a call's time spent in queues up to which hedges are free, and
-/// from which there are none. The same for the share of calls that fail.
+/// Load up to which hedges are not reduced, and load from which there are none.
+/// Load is the share of a call's time spent in queues or the share of calls that
+/// fail, whichever is larger.
 constexpr double kOpenBelow = 0.2;
 constexpr double kShutAbove = 0.5;
 
@@ -68,8 +71,8 @@
 }
 
 void ServicePolicy::call_abandoned(Duration elapsed) {
-  // The call would have taken longer. Of one that was out for a moment only,
-  // that says nothing, and counting it would sink the delay.
+  // `elapsed` is a lower bound of the latency. For a call that was outstanding
+  // only briefly it is meaningless, and counting it would lower the delay.
   if (elapsed >= this->hedge_delay().value_or(Duration::zero())) {
     this->learn(elapsed);
   }
--- a/ibismux/query/service_policy.h
+++ b/ibismux/query/service_policy.h
@@ -11,52 +11,53 @@
 
 namespace ibismux::query {
 
-/// What recent calls of one service showed, and the hedging that follows from
-/// it: after which delay, and whether the budget and the load allow one.
+/// Statistics of recent calls of one service, and the hedging policy derived
+/// from them: the delay before a hedge, and whether budget and load allow one.
 ///
 /// Thread safe.
 class ServicePolicy {
  public:
   ServicePolicy(double hedge_quantile, double hedge_share);
 
-  /// The service's specification has changed. What was learnt stays.
+  /// Applies a changed specification of the service. The statistics are kept.
   void configure(double hedge_quantile, double hedge_share) noexcept;
 
-  /// So many ordinary calls go out: the hedge budget grows by its share of
-  /// them, less as load rises.
+  /// Counts first calls that are sent: the hedge budget grows by its share of
+  /// them, and by less as load rises.
   void calls_started(std::size_t calls) noexcept;
 
   /// A call was answered.
-  /// @param latency As the query saw it.
-  /// @param queue_time What part of it the call waited for the leaf.
+  /// @param latency Latency as the query measured it.
+  /// @param queue_time The part of `latency` spent waiting for the leaf.
   void call_answered(Duration latency, Duration queue_time);
 
   /// A call was refused or lost.
   void call_failed();
 
-  /// A call was given up after `elapsed`, when its answer wasn't wanted any
-  /// more. Left out, the slow ones would vanish from the quantile and the
-  /// delay would sink until everything is hedged.
+  /// A call was abandoned after `elapsed` because its answer wasn't needed any
+  /// more. If such calls were left out, slow calls would disappear from the
+  /// quantile, and the delay would fall until every call is hedged.
   void call_abandoned(Duration elapsed);
 
-  /// A shard that was hedged got its answer. @param won Whether of a hedge.
+  /// A hedged shard was answered. @param won Whether a hedge gave the answer.
   void hedge_settled(bool won) noexcept;
 
-  /// How long a call may be out before it is worth a hedge; absent while too
-  /// little is known.
+  /// How long a call may be outstanding before it is hedged; absent while there
+  /// are too few samples.
   [[nodiscard]] std::optional<Duration> hedge_delay() const noexcept;
 
-  /// Takes a hedge out of the budget. @return False if there is none left.
+  /// Takes one hedge from the budget. @return False if the budget is empty.
   [[nodiscard]] bool take_hedge() noexcept { return this->budget.take(); }
 
-  /// 1 while leafs have room, 0 when hedges would only add to their queues.
+  /// Factor by which load scales the hedge budget: 1 while leafs have spare
+  /// capacity, 0 when hedges would only lengthen their queues.
   [[nodiscard]] double openness() const noexcept;
 
   [[nodiscard]] double tokens() const noexcept { return this->budget.tokens(); }
 
  private:
   void learn(Duration latency);
-  /// The share of calls that are to be hedged.
+  /// The share of calls that the hedge delay is chosen to hedge.
   [[nodiscard]] double hedged_share() const noexcept;
 
   std::atomic<double> quantile;
@@ -65,9 +66,10 @@
   std::atomic<Duration::rep> delay{0};  ///< 0 while unknown.
   std::atomic<double> queue_share{0};   ///< Moving average, 0 to 1.
   std::atomic<double> failure_share{0};
-  std::atomic<double> won_share{1};  ///< Of hedges; moving average.
+  /// Share of hedged shards that a hedge answered; moving average.
+  std::atomic<double> won_share{1};
 
-  std::mutex mutex;  ///< Guards the two below.
+  std::mutex mutex;  ///< Guards `latencies` and `since_refresh`.
   LatencyQuantile latencies;
   std::uint32_t since_refresh = 0;
 };
--- a/tests/query/engine_test.cc
+++ b/tests/query/engine_test.cc
@@ -15,8 +15,8 @@
 
 namespace asio = boost::asio;
 
-/// Answers each call at once with one hit, but for those of `silent` shards,
-/// which it answers when they are cancelled.
+/// Answers each call at once with one hit, except calls to the shard `silent`,
+/// which get no answer. Counts cancelled calls.
 class FakeLeafs final : public gateway::LeafCaller {
  public:
   void call(gateway::LeafCallBatch batch,
--- a/tests/query/gather_random_test.cc
+++ b/tests/query/gather_random_test.cc
@@ -14,8 +14,8 @@
     ErrorKind::kPeerUnavailable, ErrorKind::kInternal,
     ErrorKind::kDeadlineExceeded};
 
-/// A query to which anything happens in any order: answers, refusals, late,
-/// repeated, foreign and malformed answers, passing time, a restart.
+/// Feeds a query random events in random order: answers, refusals, late,
+/// duplicate, foreign and malformed answers, elapsed time and a restart.
 class RandomRun {
  public:
   explicit RandomRun(std::uint64_t seed)
@@ -86,7 +86,7 @@
     this->query.gather.on_time(this->query.at(this->now));
   }
 
-  /// Answers a call, also one that was answered or given up already.
+  /// Answers a call, possibly one that was already answered or abandoned.
   void answer(Sent& sent) {
     this->now += this->any(3);
     const std::uint32_t how = this->any(12);
--- a/tests/query/gather_test.cc
+++ b/tests/query/gather_test.cc
@@ -27,7 +27,8 @@
   return leafs;
 }
 
-// Failure: some leafs get four calls at once while others idle.
+// Guards against replica choices that repeat from query to query, so that some
+// leafs get four calls at once while others are idle.
 Test(gather, queries_in_a_row_choose_replicas_apart) {
   cr_assert(first_leafs(8) != first_leafs(9));
   cr_assert(first_leafs(8) == first_leafs(8));
@@ -93,7 +94,8 @@
   cr_assert(answer.error().retry_after.has_value());
 }
 
-// Failure: a hit of another query, or the same hit twice, in an answer.
+// Guards against an answer with a hit of another query or with the same hit
+// twice.
 Test(gather, foreign_duplicate_and_late_answers_are_dropped) {
   GatherFixture query(usual_pin(2, 1));
   query.answer(GatherFixture::kFirst - 1, body_of("foreign", 9), 1);
@@ -109,7 +111,7 @@
   cr_assert(query.gather.counts().late == 1);
 }
 
-// Failure: coverage names a shard none of whose hits were merged.
+// Guards against coverage that lists a shard whose hits were not merged.
 Test(gather, a_malformed_answer_does_not_contribute) {
   GatherFixture query(usual_pin(2, 1), 0.5);
   query.answer_hit(query.started[0], 2);
@@ -145,7 +147,8 @@
   cr_assert(query.gather.take_result()->hedges == 1);
 }
 
-// Failure: a query waits for two stragglers of one shard.
+// Guards against a query that waits for a slow call and a slow hedge of the
+// same shard.
 Test(gather, a_hedge_that_straggles_too_is_followed_by_a_last_one) {
   GatherFixture query(usual_pin(1, 2));
   query.learn_delay(milliseconds(20));
--- a/tests/query/policy_test.cc
+++ b/tests/query/policy_test.cc
@@ -15,7 +15,7 @@
   return TimePoint(std::chrono::hours(1)) + milliseconds(ms);
 }
 
-/// From 10 ms to 1.25 s, each a twentieth longer than the one before.
+/// Reports latencies from 10 ms to 1.25 s, each 5% longer than the previous.
 void answer_some(ServicePolicy& policy) {
   for (int i = 0; i < 5000; ++i) {
     const double ms = 10 * std::pow(1.05, i % 100);
@@ -57,7 +57,8 @@
   cr_assert(!policy.take_hedge());
 }
 
-// Failure: under overload hedges add to the queues that made calls slow.
+// Guards against hedges that under overload lengthen the very queues that made
+// calls slow.
 Test(service_policy, the_budget_shuts_while_calls_queue_or_fail) {
   ServicePolicy queueing(0.95, 0.05);
   ServicePolicy failing(0.95, 0.05);
@@ -73,7 +74,8 @@
   cr_assert(queueing.openness() == 1);
 }
 
-// Failure: the delay sinks until nearly every call is hedged.
+// Guards against a delay that falls until nearly every call is hedged, because
+// slow calls are abandoned and drop out of the quantile.
 Test(service_policy, calls_that_were_given_up_count_as_slow) {
   ServicePolicy policy(0.9, 0.05);
   for (int i = 0; i < 5000; ++i) {
@@ -86,7 +88,7 @@
   cr_assert(*policy.hedge_delay() >= milliseconds(50));
 }
 
-// Failure: hedges cost calls and bring no answer earlier.
+// Guards against hedges that cost extra calls but never answer first.
 Test(service_policy, hedges_that_do_not_win_become_fewer) {
   ServicePolicy policy(0.95, 0.05);
   answer_some(policy);
@@ -103,7 +105,8 @@
   cr_assert(*policy.hedge_delay() == at_first);
 }
 
-// Failure: after index flips nearly every call is hedged for a while.
+// Guards against hedging of nearly every call after the index changes, when
+// restarted queries abandon many calls early.
 Test(service_policy, calls_given_up_early_say_nothing) {
   ServicePolicy policy(0.9, 0.05);
   for (int i = 0; i < 1000; ++i) {
@@ -135,7 +138,8 @@
   cr_assert(usual.cost(at(50)) > 10);
 }
 
-// Failure: a slow leaf gets more calls with hedges than without.
+// Guards against a slow leaf that gets more calls with hedging than without:
+// its calls are abandoned, and its known latency would decay.
 Test(leaf_stats, calls_given_up_bear_out_that_a_leaf_is_slow) {
   LeafStats leaf;
   leaf.call_started();
@@ -172,7 +176,8 @@
   cr_assert(policy.judge(at(100), 2, 3, 5) == Verdict::kFail);
 }
 
-// Failure: callers see timeouts where a partial answer was to be had.
+// Guards against callers that time out although a partial answer was
+// available.
 Test(gather_plan, a_callers_deadline_leaves_time_for_the_way_back) {
   release::QueryService spec;
   spec.deadline = milliseconds(1000);
--- a/tests/query/query_fixture.h
+++ b/tests/query/query_fixture.h
@@ -16,8 +16,8 @@
 
 using std::chrono::milliseconds;
 
-/// A snapshot `name` of `shards` shards s0, s1, ... with `replicas` leafs each;
-/// the leafs are a0, a1, ... in order of shards.
+/// A snapshot `name` with `shards` shards s0, s1, ... and `replicas` leafs per
+/// shard. The leafs are a0, a1, ..., in the order of the shards.
 inline std::shared_ptr<release::SnapshotView> snapshot_of(
     const std::string& name,
     std::uint64_t sequence,
@@ -65,13 +65,13 @@
   return Pin{std::move(release), std::move(snapshot), std::move(leafs)};
 }
 
-/// A leaf's answer body with one hit.
+/// The body of a leaf's answer with one hit.
 inline std::string body_of(const std::string& id, double score) {
   return R"({"hits":[{"id":")" + id + R"(","score":)" + std::to_string(score) +
          R"(,"text":"t"}]})";
 }
 
-/// A `Gather` with policies of its own, and its time.
+/// A started `Gather` with its own policies and a simulated clock.
 struct GatherFixture {
   explicit GatherFixture(Pin pin,
                          double min_coverage = 1.0,
@@ -108,7 +108,7 @@
     this->answer(call.sequence, fail(kind, "refused"), ms);
   }
 
-  /// Lets the hedge delay settle at about `delay`.
+  /// Reports answers until the hedge delay is about `delay`.
   void learn_delay(milliseconds delay) {
     for (int i = 0; i < 256; ++i) {
       this->service.call_answered(delay, Duration::zero());
--- a/tests/query/restart_test.cc
+++ b/tests/query/restart_test.cc
@@ -17,7 +17,7 @@
   return pin_of(release_of(2, snapshot_of("n2", 2, 4, 1)));
 }
 
-// Failure: an answer holds hits of two snapshots.
+// Guards against an answer with hits of two snapshots.
 Test(restart, nothing_of_the_old_snapshot_stays) {
   GatherFixture query(old_pin());
   query.answer_hit(query.started[0], 2);
@@ -70,7 +70,8 @@
   cr_assert(answer->coverage.contributed.size() == 2);
 }
 
-// Failure: every query takes its whole deadline.
+// Guards against queries that all last until their deadline because a leaf has
+// lost its index.
 Test(restart, an_answer_that_covers_enough_waits_a_moment_only) {
   GatherFixture query(old_pin(), 0.5);
   query.answer_hit(query.started[0], 2);
@@ -90,7 +91,8 @@
   cr_assert(query.gather.wants_restart(query.at(900)));
 }
 
-// Failure: queries fail at an index flip though a newer snapshot serves.
+// Guards against queries that fail when the index changes although a newer
+// snapshot can be served.
 Test(restart, it_needs_no_retry_budget) {
   GatherFixture query(pin_of(release_of(1, snapshot_of("n1", 1, 1, 2))));
   while (query.retries.take()) {
