--- a/ibismux/query/active_query.cc
+++ b/ibismux/query/active_query.cc
@@ -70,7 +70,7 @@
   if (answer.id.origin == this->context.ids.origin()) {
     this->gather.on_answer(answer, now);
   } else {
-    this->gather.on_foreign();
+    this->gather.on_foreign_answer();
   }
   this->restart_if_wanted(now);
   this->perform();
--- a/ibismux/query/deadline_policy.h
+++ b/ibismux/query/deadline_policy.h
@@ -17,7 +17,7 @@
 /// Immutable; thread safe.
 class DeadlinePolicy {
  public:
-  enum class Verdict : unsigned char {
+  enum class Decision : unsigned char {
     kWait,
     kAnswer,  ///< Send the answer now, whether full or partial.
     kFail,    ///< The minimum coverage can no longer be reached.
@@ -34,24 +34,25 @@
   /// @param contributed Number of shards merged so far.
   /// @param open Number of shards that may still contribute.
   /// @param total Number of shards in the snapshot.
-  [[nodiscard]] Verdict judge(TimePoint now,
-                              std::size_t contributed,
-                              std::size_t open,
-                              std::size_t total) const noexcept {
+  [[nodiscard]] Decision decide(TimePoint now,
+                                std::size_t contributed,
+                                std::size_t open,
+                                std::size_t total) const noexcept {
     if (open == 0 || now >= this->deadline_at) {
-      return this->enough(contributed, total) ? Verdict::kAnswer
-                                              : Verdict::kFail;
+      return this->reaches_min_coverage(contributed, total) ? Decision::kAnswer
+                                                            : Decision::kFail;
     }
-    if (!this->enough(contributed + open, total)) {
-      return Verdict::kFail;
+    if (!this->reaches_min_coverage(contributed + open, total)) {
+      return Decision::kFail;
     }
-    const bool partial_goes =
+    const bool partial_allowed =
         this->answer_by.has_value() && now >= *this->answer_by;
-    return partial_goes && this->enough(contributed, total) ? Verdict::kAnswer
-                                                            : Verdict::kWait;
+    return partial_allowed && this->reaches_min_coverage(contributed, total)
+               ? Decision::kAnswer
+               : Decision::kWait;
   }
 
-  /// When the result of `judge` may next change without a new answer.
+  /// When the result of `decide` may next change without a new answer.
   [[nodiscard]] TimePoint next_change(TimePoint now) const noexcept {
     return this->answer_by.has_value() && now < *this->answer_by
                ? *this->answer_by
@@ -64,15 +65,16 @@
   /// sufficient answer at risk.
   [[nodiscard]] TimePoint restart_limit(std::size_t reachable,
                                         std::size_t total) const noexcept {
-    return this->answer_by.has_value() && this->enough(reachable, total)
+    return this->answer_by.has_value() &&
+                   this->reaches_min_coverage(reachable, total)
                ? *this->answer_by
                : this->deadline_at;
   }
 
   /// Whether `shards` of `total` shards reach the minimum coverage.
-  [[nodiscard]] bool enough(std::size_t shards,
-                            std::size_t total) const noexcept {
-    return static_cast<double>(shards) + kSlack >=
+  [[nodiscard]] bool reaches_min_coverage(std::size_t shards,
+                                          std::size_t total) const noexcept {
+    return static_cast<double>(shards) + kRoundingTolerance >=
            this->min_coverage * static_cast<double>(total);
   }
 
@@ -82,7 +84,7 @@
 
  private:
   /// Tolerance for rounding errors, so that 3 of 5 shards meet 0.6.
-  static constexpr double kSlack = 1e-9;
+  static constexpr double kRoundingTolerance = 1e-9;
 
   TimePoint deadline_at;
   std::optional<TimePoint> answer_by;
--- a/ibismux/query/gather.cc
+++ b/ibismux/query/gather.cc
@@ -17,13 +17,13 @@
 using std::chrono::milliseconds;
 
 /// `retry_after` of a failed query if no leaf gave one.
-constexpr milliseconds kUsualRetryAfter{250};
+constexpr milliseconds kDefaultRetryAfter{250};
 /// Base of the exponential backoff before a replica that has already had a
 /// call is retried; doubles with each attempt.
-constexpr milliseconds kBackoff{4};
+constexpr milliseconds kBaseBackoff{4};
 /// Size of the bit set of tried replicas. Replicas beyond it always count as
 /// untried.
-constexpr std::uint32_t kMostReplicas = 64;
+constexpr std::uint32_t kMostTrackedReplicas = 64;
 
 /// Whether the same call may succeed on another replica or later.
 bool retriable(ErrorKind kind) noexcept {
@@ -48,7 +48,7 @@
       policies(policies),
       random(this->plan.seed),
       merger(this->plan.most_hits),
-      retry_after(kUsualRetryAfter),
+      retry_after(kDefaultRetryAfter),
       wake(this->plan.deadlines.deadline()) {}
 
 std::uint64_t Gather::ids_needed(const Pin& pin) noexcept {
@@ -58,8 +58,8 @@
 
 void Gather::start(Pin pin, std::uint64_t first_sequence, TimePoint now) {
   if (this->pinned.snapshot != nullptr) {
-    this->give_up_all(now);
-    ++this->tally.restarts;
+    this->abandon_all_calls(now);
+    ++this->call_counts.restarts;
   }
   const std::size_t total = pin.snapshot->shards.size();
   this->pinned = std::move(pin);
@@ -73,7 +73,7 @@
   this->leaf_wait = {};
   this->merged = 0;
   this->open = total;
-  this->gone = 0;
+  this->snapshot_gone_shards = 0;
   for (std::uint32_t shard = 0; shard < total; ++shard) {
     if (!this->start_on_untried(shard, now)) {
       this->fail_shard(shard, ErrorKind::kLeafUnavailable);
@@ -83,12 +83,12 @@
   this->policies.retries.deposit(this->starts.size(),
                                  this->policies.retry_share);
   this->plan_wake(now);
-  this->judge(now);
+  this->check_outcome(now);
 }
 
 void Gather::on_answer(const gateway::LeafAnswer& answer, TimePoint now) {
   if (this->is_finished) {
-    this->tally.late += answer.body.has_value() ? 1 : 0;
+    this->call_counts.late += answer.body.has_value() ? 1 : 0;
     return;
   }
   Call* call = this->outstanding_call(answer.id);
@@ -102,7 +102,7 @@
   } else {
     this->on_error(*call, answer.body.error(), now);
   }
-  this->judge(now);
+  this->check_outcome(now);
 }
 
 void Gather::on_cancel(TimePoint now) {
@@ -134,13 +134,13 @@
   const auto& replicas = this->shard_view(shard).replicas;
   const auto position = static_cast<std::size_t>(
       std::find(replicas.begin(), replicas.end(), leaf) - replicas.begin());
-  if (position < kMostReplicas) {
+  if (position < kMostTrackedReplicas) {
     progress.tried |= std::uint64_t{1} << position;
   }
   this->starts.push_back(
       {this->first_sequence + this->calls.size(), shard, leaf});
   this->calls.push_back({shard, leaf, now, true});
-  ++this->tally.calls;
+  ++this->call_counts.calls;
   (*this->pinned.leafs)[leaf]->call_started();
 }
 
@@ -149,7 +149,7 @@
   this->candidates.clear();
   for (std::size_t i = 0; i < replicas.size(); ++i) {
     const bool tried =
-        i < kMostReplicas && (this->shards[shard].tried >> i & 1) != 0;
+        i < kMostTrackedReplicas && (this->shards[shard].tried >> i & 1) != 0;
     if (!tried && !this->pinned.release->leafs[replicas[i]].leaving) {
       this->candidates.push_back(replicas[i]);
     }
@@ -175,7 +175,7 @@
   return this->start_on_untried(shard, now);
 }
 
-void Gather::give_up(std::uint64_t offset, TimePoint now) {
+void Gather::abandon_call(std::uint64_t offset, TimePoint now) {
   Call& call = this->calls[offset];
   call.outstanding = false;
   --this->shards[call.shard].outstanding;
@@ -184,19 +184,19 @@
   this->policies.service.call_abandoned(now - call.started);
 }
 
-void Gather::give_up_shard(std::uint32_t shard, TimePoint now) {
+void Gather::abandon_shard_calls(std::uint32_t shard, TimePoint now) {
   for (std::uint64_t i = 0;
        this->shards[shard].outstanding > 0 && i < this->calls.size(); ++i) {
     if (this->calls[i].outstanding && this->calls[i].shard == shard) {
-      this->give_up(i, now);
+      this->abandon_call(i, now);
     }
   }
 }
 
-void Gather::give_up_all(TimePoint now) {
+void Gather::abandon_all_calls(TimePoint now) {
   for (std::uint64_t i = 0; i < this->calls.size(); ++i) {
     if (this->calls[i].outstanding) {
-      this->give_up(i, now);
+      this->abandon_call(i, now);
     }
   }
 }
@@ -207,11 +207,11 @@
   // each other. It can't match: the unsigned difference is out of range.
   const std::uint64_t offset = id.sequence - this->first_sequence;
   if (offset >= this->calls.size()) {
-    ++this->tally.foreign;
+    ++this->call_counts.foreign;
     return nullptr;
   }
   if (!this->calls[offset].outstanding) {
-    ++this->tally.late;
+    ++this->call_counts.late;
     return nullptr;
   }
   return &this->calls[offset];
@@ -220,10 +220,10 @@
 void Gather::on_body(Call& call,
                      const gateway::LeafAnswer& answer,
                      TimePoint now) {
-  this->maybe_run = true;
+  this->may_have_run = true;
   const std::uint32_t shard = call.shard;
   if (!this->merger.merge(*answer.body, this->shard_view(shard).name)) {
-    ++this->tally.malformed;
+    ++this->call_counts.malformed;
     this->on_error(
         call, make_error(ErrorKind::kProtocolError, "malformed leaf answer"),
         now);
@@ -236,17 +236,17 @@
   if (this->shards[shard].hedges > 0) {
     this->policies.service.hedge_settled(call.hedge);
   }
-  this->gone -= this->shards[shard].snapshot_gone ? 1 : 0;
+  this->snapshot_gone_shards -= this->shards[shard].snapshot_gone ? 1 : 0;
   this->shards[shard].snapshot_gone = false;
   this->shards[shard].state = ShardState::kMerged;
   ++this->merged;
   --this->open;
-  this->give_up_shard(shard, now);
+  this->abandon_shard_calls(shard, now);
 }
 
 void Gather::on_error(Call& call, const Error& error, TimePoint now) {
   const std::uint32_t shard = call.shard;
-  this->maybe_run |= error.execution != Execution::kNotRun;
+  this->may_have_run |= error.execution != Execution::kNotRun;
   if (error.retry_after.has_value()) {
     this->retry_after = std::max(this->retry_after, *error.retry_after);
   }
@@ -259,19 +259,19 @@
   }
   if (this->shards[shard].state == ShardState::kOpen &&
       this->shards[shard].outstanding == 0) {
-    this->on_shard_out(shard, error, now);
+    this->on_last_call_failed(shard, error, now);
     this->plan_wake(now);
   }
 }
 
-void Gather::on_shard_out(std::uint32_t shard,
-                          const Error& error,
-                          TimePoint now) {
+void Gather::on_last_call_failed(std::uint32_t shard,
+                                 const Error& error,
+                                 TimePoint now) {
   ShardProgress& progress = this->shards[shard];
   progress.reason = error.kind;
   const bool untried = this->has_untried(shard);
   if (error.kind == ErrorKind::kSnapshotGone && !untried) {
-    this->lose_snapshot(shard, now);
+    this->mark_snapshot_gone(shard, now);
     return;
   }
   if (!retriable(error.kind) || progress.attempts >= kMostAttempts) {
@@ -280,25 +280,25 @@
   }
   const Duration backoff =
       untried ? Duration::zero()
-              : std::max<Duration>(error.retry_after.value_or(kBackoff),
-                                   kBackoff * (1 << progress.attempts));
+              : std::max<Duration>(error.retry_after.value_or(kBaseBackoff),
+                                   kBaseBackoff * (1 << progress.attempts));
   if (now + backoff >= this->plan.deadlines.deadline()) {
     this->fail_shard(shard, error.kind);
     return;
   }
   progress.retry_at = now + backoff;
   if (untried) {
-    this->retry_due(now);
+    this->start_due_retries(now);
   }
 }
 
-void Gather::lose_snapshot(std::uint32_t shard, TimePoint now) {
+void Gather::mark_snapshot_gone(std::uint32_t shard, TimePoint now) {
   this->shards[shard].snapshot_gone = true;
   this->shards[shard].retry_at.reset();
-  if (this->gone++ == 0) {
-    this->gone_since = now;
+  if (this->snapshot_gone_shards++ == 0) {
+    this->snapshot_gone_since = now;
   }
-  this->settle_gone(now);
+  this->fail_gone_if_too_late(now);
 }
 
 void Gather::fail_shard(std::uint32_t shard, ErrorKind reason) {
@@ -311,7 +311,7 @@
   this->is_finished = true;
   this->result = std::move(outcome);
   this->starts.clear();
-  this->give_up_all(now);
+  this->abandon_all_calls(now);
 }
 
 QueryAnswer Gather::answer() {
@@ -329,15 +329,15 @@
       answer.coverage.missing.push_back({name, progress.reason});
     }
   }
-  answer.leaf_calls = this->tally.calls;
-  answer.hedges = this->tally.hedges;
-  answer.retries = this->tally.retries;
-  answer.restarts = this->tally.restarts;
+  answer.leaf_calls = this->call_counts.calls;
+  answer.hedges = this->call_counts.hedges;
+  answer.retries = this->call_counts.retries;
+  answer.restarts = this->call_counts.restarts;
   answer.leaf_wait = this->leaf_wait;
   return answer;
 }
 
-std::string Gather::missing_in_words() const {
+std::string Gather::missing_by_reason() const {
   std::array<std::size_t, kErrorKinds> counts{};
   for (const ShardProgress& progress : this->shards) {
     if (progress.state == ShardState::kFailed) {
@@ -374,9 +374,9 @@
   Error error =
       make_error(kind, std::to_string(this->merged) + " of " +
                            std::to_string(this->shards.size()) +
-                           " shards answered" + this->missing_in_words());
-  error.execution = this->maybe_run || outstanding > 0 ? Execution::kUnknown
-                                                       : Execution::kNotRun;
+                           " shards answered" + this->missing_by_reason());
+  error.execution = this->may_have_run || outstanding > 0 ? Execution::kUnknown
+                                                          : Execution::kNotRun;
   error.retry_after = this->retry_after;
   return error;
 }
--- a/ibismux/query/gather.h
+++ b/ibismux/query/gather.h
@@ -49,7 +49,7 @@
   void on_answer(const gateway::LeafAnswer& answer, TimePoint now);
 
   /// An answer arrived with a call id of another daemon.
-  void on_foreign() noexcept { ++this->tally.foreign; }
+  void on_foreign_answer() noexcept { ++this->call_counts.foreign; }
 
   /// Starts due retries and hedges and checks the deadlines. Called when
   /// `next_wake()` has passed.
@@ -76,7 +76,7 @@
   /// Precondition: finished, and not called before.
   [[nodiscard]] Result<QueryAnswer> take_result();
   [[nodiscard]] const GatherCounts& counts() const noexcept {
-    return this->tally;
+    return this->call_counts;
   }
   [[nodiscard]] const Pin& pin() const noexcept { return this->pinned; }
   /// @}
@@ -114,9 +114,9 @@
   /// become candidates again.
   bool start_on_any(std::uint32_t shard, TimePoint now);
   [[nodiscard]] bool has_untried(std::uint32_t shard);
-  void give_up(std::uint64_t offset, TimePoint now);
-  void give_up_shard(std::uint32_t shard, TimePoint now);
-  void give_up_all(TimePoint now);
+  void abandon_call(std::uint64_t offset, TimePoint now);
+  void abandon_shard_calls(std::uint32_t shard, TimePoint now);
+  void abandon_all_calls(TimePoint now);
   /// @}
 
   /// @name Answers
@@ -126,34 +126,36 @@
   void on_error(Call& call, const Error& error, TimePoint now);
   /// The last outstanding call of an open shard has failed: schedules a retry
   /// or fails the shard.
-  void on_shard_out(std::uint32_t shard, const Error& error, TimePoint now);
+  void on_last_call_failed(std::uint32_t shard,
+                           const Error& error,
+                           TimePoint now);
   /// No replica of an open shard holds the pinned snapshot. The shard stays
   /// open, since a restart on a newer snapshot may still succeed.
-  void lose_snapshot(std::uint32_t shard, TimePoint now);
+  void mark_snapshot_gone(std::uint32_t shard, TimePoint now);
   void fail_shard(std::uint32_t shard, ErrorKind reason);
   /// Fails the shards without the pinned snapshot once a restart would be too
   /// late.
-  void settle_gone(TimePoint now);
+  void fail_gone_if_too_late(TimePoint now);
   /// @}
 
   /// @name Time
   /// @{
-  void hedge(TimePoint now);
-  void retry_due(TimePoint now);
+  void start_due_hedges(TimePoint now);
+  void start_due_retries(TimePoint now);
   [[nodiscard]] bool may_hedge(const ShardProgress& progress) const noexcept;
   /// When the next hedge of an open shard is due.
   [[nodiscard]] static TimePoint hedge_at(const ShardProgress& progress,
                                           Duration delay) noexcept;
   [[nodiscard]] bool restart_in_time(TimePoint now) const noexcept;
   void plan_wake(TimePoint now);
-  void judge(TimePoint now);
+  void check_outcome(TimePoint now);
   void finish(Result<QueryAnswer> outcome, TimePoint now);
   /// @}
 
   [[nodiscard]] QueryAnswer answer();
   [[nodiscard]] Error failure(TimePoint now) const;
   /// The number of failed shards by reason, such as ", 2 peer_unavailable".
-  [[nodiscard]] std::string missing_in_words() const;
+  [[nodiscard]] std::string missing_by_reason() const;
   [[nodiscard]] const release::ShardView& shard_view(
       std::uint32_t shard) const noexcept;
 
@@ -169,14 +171,15 @@
   LeafWait leaf_wait;
   std::size_t merged = 0;
   std::size_t open = 0;
-  std::size_t gone = 0;  ///< Number of open shards without the snapshot.
-  TimePoint gone_since;
-  bool maybe_run = false;  ///< A leaf may have run a part of the query.
+  /// Number of open shards without the pinned snapshot.
+  std::size_t snapshot_gone_shards = 0;
+  TimePoint snapshot_gone_since;
+  bool may_have_run = false;  ///< A leaf may have run a part of the query.
   std::chrono::milliseconds retry_after;
   std::vector<GatherCall> starts;
   std::vector<std::uint64_t> cancels;
   TimePoint wake;
-  GatherCounts tally;
+  GatherCounts call_counts;
   bool is_finished = false;
   std::optional<Result<QueryAnswer>> result;
 };
--- a/ibismux/query/gather_plan.cc
+++ b/ibismux/query/gather_plan.cc
@@ -14,18 +14,18 @@
 /// The caller's deadline divided by this is reserved for sending the response.
 /// Otherwise an answer sent right at the deadline would arrive too late, where
 /// a partial one could have arrived in time.
-constexpr int kWayBackPart = 20;
+constexpr int kResponseReserveDivisor = 20;
 /// Upper limit of the reserved time.
-constexpr milliseconds kMostWayBack{10};
+constexpr milliseconds kMostResponseReserve{10};
 
 milliseconds allowed_time(const QueryRequest& request,
                           const release::QueryService& spec) {
   if (!request.deadline.has_value()) {
     return spec.deadline;
   }
-  const milliseconds way_back =
-      std::min(kMostWayBack, *request.deadline / kWayBackPart);
-  return std::min(spec.deadline, *request.deadline - way_back);
+  const milliseconds response_reserve = std::min(
+      kMostResponseReserve, *request.deadline / kResponseReserveDivisor);
+  return std::min(spec.deadline, *request.deadline - response_reserve);
 }
 
 }  // namespace
--- a/ibismux/query/gather_plan.h
+++ b/ibismux/query/gather_plan.h
@@ -47,7 +47,7 @@
   std::uint32_t foreign = 0;    ///< Answers that match no call of this query.
   std::uint32_t late = 0;       ///< Answers to calls that had already ended.
   std::uint32_t malformed = 0;  ///< Answers whose body isn't a list of hits.
-  std::uint32_t budget_empty = 0;  ///< Retries that the budget didn't allow.
+  std::uint32_t retries_refused = 0;  ///< Retries that the budget didn't allow.
 };
 
 }  // namespace ibismux::query
--- a/ibismux/query/gather_timing.cc
+++ b/ibismux/query/gather_timing.cc
@@ -16,19 +16,19 @@
 
 /// Interval of the checks for a newer release while shards lack the pinned
 /// snapshot.
-constexpr milliseconds kReleasePoll{10};
+constexpr milliseconds kReleasePollInterval{10};
 /// Shortest interval between two attempts to start a hedge.
-constexpr milliseconds kHedgePoll{1};
+constexpr milliseconds kHedgePollInterval{1};
 /// How long a query waits for a newer snapshot if the pinned one already gives
 /// the minimum coverage. Without this limit, a leaf that has lost its index
 /// would delay every query until its deadline.
-constexpr milliseconds kNewerSnapshotWait{50};
+constexpr milliseconds kMostNewerSnapshotWait{50};
 /// Assumed duration of a restart while the latency of the service is unknown.
-constexpr milliseconds kUsualRestart{10};
+constexpr milliseconds kDefaultRestartTime{10};
 /// The most hedges of one shard. If there is no third replica, the second hedge
 /// goes to a replica that already has a call: one call may be slow although the
 /// leaf as a whole is not.
-constexpr std::uint8_t kMostHedges = 2;
+constexpr std::uint8_t kMostHedgesPerShard = 2;
 
 }  // namespace
 
@@ -36,34 +36,36 @@
   if (this->is_finished) {
     return;
   }
-  this->retry_due(now);
-  this->settle_gone(now);
-  this->hedge(now);
+  this->start_due_retries(now);
+  this->fail_gone_if_too_late(now);
+  this->start_due_hedges(now);
   this->plan_wake(now);
-  this->judge(now);
+  this->check_outcome(now);
 }
 
 bool Gather::wants_restart(TimePoint now) const noexcept {
-  return !this->is_finished && this->gone > 0 && this->restart_in_time(now);
+  return !this->is_finished && this->snapshot_gone_shards > 0 &&
+         this->restart_in_time(now);
 }
 
 bool Gather::restart_in_time(TimePoint now) const noexcept {
-  if (this->tally.restarts > 0) {
+  if (this->call_counts.restarts > 0) {
     return false;
   }
   const std::size_t total = this->shards.size();
-  const std::size_t reachable = this->merged + this->open - this->gone;
-  if (this->plan.deadlines.enough(reachable, total) &&
-      now >= this->gone_since + kNewerSnapshotWait) {
+  const std::size_t reachable =
+      this->merged + this->open - this->snapshot_gone_shards;
+  if (this->plan.deadlines.reaches_min_coverage(reachable, total) &&
+      now >= this->snapshot_gone_since + kMostNewerSnapshotWait) {
     return false;
   }
   const Duration needed =
-      this->policies.service.hedge_delay().value_or(kUsualRestart);
+      this->policies.service.hedge_delay().value_or(kDefaultRestartTime);
   return now + needed < this->plan.deadlines.restart_limit(reachable, total);
 }
 
-void Gather::settle_gone(TimePoint now) {
-  if (this->gone == 0 || this->restart_in_time(now)) {
+void Gather::fail_gone_if_too_late(TimePoint now) {
+  if (this->snapshot_gone_shards == 0 || this->restart_in_time(now)) {
     return;
   }
   for (std::uint32_t shard = 0; shard < this->shards.size(); ++shard) {
@@ -71,10 +73,10 @@
       this->fail_shard(shard, ErrorKind::kSnapshotGone);
     }
   }
-  this->gone = 0;
+  this->snapshot_gone_shards = 0;
 }
 
-void Gather::retry_due(TimePoint now) {
+void Gather::start_due_retries(TimePoint now) {
   for (std::uint32_t shard = 0; shard < this->shards.size(); ++shard) {
     ShardProgress& progress = this->shards[shard];
     if (!progress.retry_at.has_value() || *progress.retry_at > now ||
@@ -82,15 +84,15 @@
       continue;
     }
     if (this->policies.retries.take()) {
-      ++this->tally.retries;
+      ++this->call_counts.retries;
       if (this->start_on_any(shard, now)) {
         continue;
       }
     } else {
-      ++this->tally.budget_empty;
+      ++this->call_counts.retries_refused;
     }
     if (progress.reason == ErrorKind::kSnapshotGone) {
-      this->lose_snapshot(shard, now);
+      this->mark_snapshot_gone(shard, now);
     } else {
       this->fail_shard(shard, progress.reason);
     }
@@ -99,7 +101,8 @@
 
 bool Gather::may_hedge(const ShardProgress& progress) const noexcept {
   return progress.state == ShardState::kOpen && progress.outstanding > 0 &&
-         progress.hedges < kMostHedges && progress.attempts < kMostAttempts;
+         progress.hedges < kMostHedgesPerShard &&
+         progress.attempts < kMostAttempts;
 }
 
 TimePoint Gather::hedge_at(const ShardProgress& progress,
@@ -107,7 +110,7 @@
   return progress.last_start + delay * (1 + progress.hedges);
 }
 
-void Gather::hedge(TimePoint now) {
+void Gather::start_due_hedges(TimePoint now) {
   const std::optional<Duration> delay = this->policies.service.hedge_delay();
   if (!delay.has_value()) {
     return;
@@ -123,7 +126,7 @@
     ++progress.hedges;
     if (this->start_on_any(shard, now)) {
       this->calls.back().hedge = true;
-      ++this->tally.hedges;
+      ++this->call_counts.hedges;
     }
   }
 }
@@ -139,24 +142,24 @@
     if (delay.has_value() && this->may_hedge(progress)) {
       next =
           std::min(next, std::max<TimePoint>(this->hedge_at(progress, *delay),
-                                             now + kHedgePoll));
+                                             now + kHedgePollInterval));
     }
   }
-  if (this->gone > 0) {
-    next = std::min<TimePoint>(next, now + kReleasePoll);
+  if (this->snapshot_gone_shards > 0) {
+    next = std::min<TimePoint>(next, now + kReleasePollInterval);
   }
   this->wake = next;
 }
 
-void Gather::judge(TimePoint now) {
-  switch (this->plan.deadlines.judge(now, this->merged, this->open,
-                                     this->shards.size())) {
-    case DeadlinePolicy::Verdict::kWait:
+void Gather::check_outcome(TimePoint now) {
+  switch (this->plan.deadlines.decide(now, this->merged, this->open,
+                                      this->shards.size())) {
+    case DeadlinePolicy::Decision::kWait:
       return;
-    case DeadlinePolicy::Verdict::kAnswer:
+    case DeadlinePolicy::Decision::kAnswer:
       this->finish(this->answer(), now);
       return;
-    case DeadlinePolicy::Verdict::kFail:
+    case DeadlinePolicy::Decision::kFail:
       this->finish(tl::unexpected<Error>(this->failure(now)), now);
       return;
   }
--- a/ibismux/query/hit_merger.h
+++ b/ibismux/query/hit_merger.h
@@ -16,8 +16,8 @@
 /// Not thread safe; belongs to one query.
 class HitMerger {
  public:
-  /// @param most The most hits to keep.
-  explicit HitMerger(std::size_t most) : most(most) {}
+  /// @param most_hits The most hits to keep.
+  explicit HitMerger(std::size_t most_hits) : most_hits(most_hits) {}
 
   /// Merges the hits of `body`, a leaf's answer in the format of docs/LEAFS.md.
   /// @return False if the body is malformed; then no hit is merged.
@@ -30,7 +30,7 @@
   [[nodiscard]] std::vector<Hit> take();
 
  private:
-  std::size_t most;
+  std::size_t most_hits;
   HitReader reader;
   std::vector<Hit> heap;  ///< Heap with the worst kept hit at the front.
 };
--- a/ibismux/query/hit_reader.cc
+++ b/ibismux/query/hit_reader.cc
@@ -56,7 +56,7 @@
     if (this->depth == kHitDepth - 1 && this->in_hits) {
       this->hits.emplace_back();
     } else {
-      this->on_other(Kind::kObject);
+      this->on_unused_value(Kind::kObject);
     }
     ++this->depth;
     return true;
@@ -76,7 +76,7 @@
       this->has_hits = true;
       this->hits.clear();
     } else {
-      this->on_other(Kind::kArray);
+      this->on_unused_value(Kind::kArray);
     }
     ++this->depth;
     return true;
@@ -119,7 +119,7 @@
       this->hits.back().text = span;
     } else {
       this->texts->resize(span.begin);
-      this->on_other(Kind::kScalar);
+      this->on_unused_value(Kind::kScalar);
     }
     return true;
   }
@@ -134,8 +134,10 @@
   bool on_double(double value, string_view, error_code&) {
     return this->on_number(value);
   }
-  bool on_bool(bool, error_code&) { return this->on_other(Kind::kScalar); }
-  bool on_null(error_code&) { return this->on_other(Kind::kScalar); }
+  bool on_bool(bool, error_code&) {
+    return this->on_unused_value(Kind::kScalar);
+  }
+  bool on_null(error_code&) { return this->on_unused_value(Kind::kScalar); }
   bool on_comment_part(string_view, error_code&) { return true; }
   bool on_comment(string_view, error_code&) { return true; }
   /// @}
@@ -158,12 +160,12 @@
       this->malformed |= !std::isfinite(value);
       return true;
     }
-    return this->on_other(Kind::kScalar);
+    return this->on_unused_value(Kind::kScalar);
   }
 
   /// Handles a value that isn't part of a hit. The answer is malformed if the
   /// format requires a list, a hit or a member of a hit at this place.
-  bool on_other(Kind kind) {
+  bool on_unused_value(Kind kind) {
     if (this->depth == 0) {
       this->malformed |= kind != Kind::kObject;
     } else if (this->depth == kRootDepth) {
--- a/ibismux/query/latency_quantile.cc
+++ b/ibismux/query/latency_quantile.cc
@@ -33,15 +33,15 @@
 void LatencyQuantile::record(Duration latency) {
   const double ms = std::chrono::duration<double, std::milli>(latency).count();
   this->histogram->bins(std::clamp(ms, kLowestMs, kHighestMs * 0.99));
-  this->samples = std::min(this->samples + 1, kFewestSamples);
-  if (++this->since_halving == kSamplesPerHalving) {
-    this->since_halving = 0;
+  this->samples = std::min(this->samples + 1, kLeastSamples);
+  if (++this->samples_since_halving == kSamplesPerHalving) {
+    this->samples_since_halving = 0;
     this->histogram->bins *= 0.5;
   }
 }
 
 std::optional<Duration> LatencyQuantile::at(double quantile) const {
-  if (this->samples < kFewestSamples) {
+  if (this->samples < kLeastSamples) {
     return std::nullopt;
   }
   double total = 0;
--- a/ibismux/query/latency_quantile.h
+++ b/ibismux/query/latency_quantile.h
@@ -16,7 +16,7 @@
 class LatencyQuantile {
  public:
   /// Number of samples below which no quantile is given.
-  static constexpr std::uint32_t kFewestSamples = 30;
+  static constexpr std::uint32_t kLeastSamples = 30;
   static constexpr std::uint32_t kSamplesPerHalving = 8192;
 
   LatencyQuantile();
@@ -32,7 +32,7 @@
   struct Histogram;
   std::unique_ptr<Histogram> histogram;
   std::uint32_t samples = 0;
-  std::uint32_t since_halving = 0;
+  std::uint32_t samples_since_halving = 0;
 };
 
 }  // namespace ibismux::query
--- a/ibismux/query/leaf_stats.h
+++ b/ibismux/query/leaf_stats.h
@@ -39,7 +39,7 @@
   [[nodiscard]] double cost(TimePoint now) const noexcept;
 
  private:
-  void learn(Duration latency, TimePoint now) noexcept;
+  void record_latency(Duration latency, TimePoint now) noexcept;
   void call_ended() noexcept {
     this->outstanding.fetch_sub(1, std::memory_order_relaxed);
   }
@@ -47,7 +47,7 @@
   std::atomic<std::int32_t> outstanding{0};
   std::atomic<double> latency_ms{0};
   std::atomic<double> failures{0};
-  std::atomic<Duration::rep> learned_at{0};
+  std::atomic<Duration::rep> latency_updated_at{0};
   std::atomic<Duration::rep> failed_at{0};
 };
 
--- a/ibismux/query/policy_table.cc
+++ b/ibismux/query/policy_table.cc
@@ -44,7 +44,7 @@
 }
 
 std::optional<Pin> PolicyTable::newer_pin(const std::string& service,
-                                          std::uint64_t than) {
+                                          std::uint64_t after_sequence) {
   const std::shared_ptr<const PolicySet> set = this->current();
   const auto found = set->release->services.find(service);
   if (found == set->release->services.end() ||
@@ -52,7 +52,7 @@
     return std::nullopt;
   }
   const auto& newest = found->second->snapshots.front();
-  if (newest->sequence <= than) {
+  if (newest->sequence <= after_sequence) {
     return std::nullopt;
   }
   return Pin{set->release, newest, set->leafs};
--- a/ibismux/query/policy_table.h
+++ b/ibismux/query/policy_table.h
@@ -46,9 +46,10 @@
   /// unless the release has changed.
   [[nodiscard]] std::shared_ptr<const PolicySet> current();
 
-  /// The newest snapshot of `service` if its sequence is greater than `than`.
+  /// The newest snapshot of `service` if its sequence is greater than
+  /// `after_sequence`.
   [[nodiscard]] std::optional<Pin> newer_pin(const std::string& service,
-                                             std::uint64_t than);
+                                             std::uint64_t after_sequence);
 
  private:
   std::shared_ptr<const PolicySet> rebuild();
--- a/ibismux/query/query_engine.cc
+++ b/ibismux/query/query_engine.cc
@@ -18,13 +18,13 @@
 /// Capacity of the retry budget that all services share, in retries.
 constexpr double kRetryBurst = 100;
 /// Retries available right after a start.
-constexpr double kFirstRetries = 10;
+constexpr double kInitialRetries = 10;
 /// `retry_after` while there is no configuration or no servable snapshot.
-constexpr milliseconds kNotReadyRetry{1000};
+constexpr milliseconds kNotReadyRetryAfter{1000};
 
 tl::unexpected<Error> not_ready(std::string message) {
   Error error = make_error(ErrorKind::kNotReady, std::move(message));
-  error.retry_after = kNotReadyRetry;
+  error.retry_after = kNotReadyRetryAfter;
   return tl::unexpected<Error>(std::move(error));
 }
 
@@ -40,7 +40,7 @@
         ids(origin),
         metrics(metrics),
         table(releases, this->metrics),
-        retries(kRetryBurst, kFirstRetries) {}
+        retries(kRetryBurst, kInitialRetries) {}
 
   Task<Result<QueryAnswer>> run(QueryRequest request,
                                 std::shared_ptr<http::CancelToken> cancel);
--- a/ibismux/query/query_metrics.cc
+++ b/ibismux/query/query_metrics.cc
@@ -17,9 +17,9 @@
 using GaugeFamily = prometheus::Family<prometheus::Gauge>;
 using HistogramFamily = prometheus::Family<prometheus::Histogram>;
 
-const prometheus::Histogram::BucketBoundaries kSeconds = {
+const prometheus::Histogram::BucketBoundaries kSecondsBuckets = {
     0.002, 0.005, 0.01, 0.02, 0.04, 0.07, 0.1, 0.15, 0.22, 0.4, 0.7, 1, 2, 5};
-const prometheus::Histogram::BucketBoundaries kShares = {
+const prometheus::Histogram::BucketBoundaries kCoverageBuckets = {
     0, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.999};
 
 CounterFamily& counters(prometheus::Registry& metrics,
@@ -108,8 +108,9 @@
         late(families.dropped.Add(labels(service, "reason", "late"))),
         malformed(families.dropped.Add(labels(service, "reason", "malformed"))),
         refused(families.retries_refused.Add({{"service", service}})),
-        seconds(families.seconds.Add({{"service", service}}, kSeconds)),
-        coverage(families.coverage.Add({{"service", service}}, kShares)),
+        seconds(families.seconds.Add({{"service", service}}, kSecondsBuckets)),
+        coverage(
+            families.coverage.Add({{"service", service}}, kCoverageBuckets)),
         hedge_tokens(families.hedge_tokens.Add({{"service", service}})),
         hedge_openness(families.hedge_openness.Add({{"service", service}})),
         hedge_delay(families.hedge_delay.Add({{"service", service}})) {
@@ -162,7 +163,7 @@
     this->foreign.Increment(counts.foreign);
     this->late.Increment(counts.late);
     this->malformed.Increment(counts.malformed);
-    this->refused.Increment(counts.budget_empty);
+    this->refused.Increment(counts.retries_refused);
   }
 
   prometheus::Counter& whole;
--- a/ibismux/query/replica_choice.cc
+++ b/ibismux/query/replica_choice.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr unsigned kHalfOfRandom = 32;
+constexpr unsigned kHighBitsShift = 32;
 
 }  // namespace
 
@@ -22,7 +22,7 @@
                                    std::uint64_t random,
                                    TimePoint now) const {
   const std::size_t count = candidates.size();
-  const std::size_t first = (random >> kHalfOfRandom) % count;
+  const std::size_t first = (random >> kHighBitsShift) % count;
   if (count == 1) {
     return candidates[first];
   }
--- a/ibismux/query/service_policy.cc
+++ b/ibismux/query/service_policy.cc
@@ -15,26 +15,26 @@
 /// Share of the hedge budget that the delay is chosen to use. If it used all of
 /// it, calls that are only slightly late would spend the budget and leave none
 /// for stragglers.
-constexpr double kPlannedUse = 0.8;
+constexpr double kTargetBudgetUse = 0.8;
 /// Weight of the newest call in the moving averages of queueing and failures.
 constexpr double kLoadWeight = 0.01;
 /// Weight of the newest hedged shard in the moving average of won hedges.
 constexpr double kHedgeWeight = 0.02;
 /// If a smaller share of hedges than this wins, fewer are sent: most would only
 /// add a call that ends after the call that it duplicates.
-constexpr double kWorthwhile = 0.35;
+constexpr double kTargetWinShare = 0.35;
 /// Lower limit of that reduction. Some hedges are always sent, so that it shows
 /// when they become useful again.
-constexpr double kLeastUse = 0.1;
+constexpr double kLeastWinFactor = 0.1;
 /// Load up to which hedges are not reduced, and load from which there are none.
-/// Load is the share of a call's time spent in queues or the share of calls that
-/// fail, whichever is larger.
-constexpr double kOpenBelow = 0.2;
-constexpr double kShutAbove = 0.5;
-
-void average_in(std::atomic<double>& average,
-                double value,
-                double weight = kLoadWeight) noexcept {
+/// Load is the larger of the share of a call's time spent in queues and the
+/// share of calls that fail.
+constexpr double kFullHedgingLoad = 0.2;
+constexpr double kNoHedgingLoad = 0.5;
+
+void update_average(std::atomic<double>& average,
+                    double value,
+                    double weight = kLoadWeight) noexcept {
   const double old = average.load(std::memory_order_relaxed);
   average.store(old + weight * (value - old), std::memory_order_relaxed);
 }
@@ -56,39 +56,40 @@
 }
 
 void ServicePolicy::call_answered(Duration latency, Duration queue_time) {
-  average_in(this->failure_share, 0);
+  update_average(this->failure_share, 0);
   if (latency > Duration::zero()) {
-    average_in(this->queue_share,
-               std::clamp(static_cast<double>(queue_time.count()) /
-                              static_cast<double>(latency.count()),
-                          0.0, 1.0));
+    update_average(this->queue_share,
+                   std::clamp(static_cast<double>(queue_time.count()) /
+                                  static_cast<double>(latency.count()),
+                              0.0, 1.0));
   }
-  this->learn(latency);
+  this->record_latency(latency);
 }
 
 void ServicePolicy::call_failed() {
-  average_in(this->failure_share, 1);
+  update_average(this->failure_share, 1);
 }
 
 void ServicePolicy::call_abandoned(Duration elapsed) {
   // `elapsed` is a lower bound of the latency. For a call that was outstanding
   // only briefly it is meaningless, and counting it would lower the delay.
   if (elapsed >= this->hedge_delay().value_or(Duration::zero())) {
-    this->learn(elapsed);
+    this->record_latency(elapsed);
   }
 }
 
 void ServicePolicy::hedge_settled(bool won) noexcept {
-  average_in(this->won_share, won ? 1 : 0, kHedgeWeight);
+  update_average(this->hedge_win_share, won ? 1 : 0, kHedgeWeight);
 }
 
 double ServicePolicy::hedged_share() const noexcept {
-  const double late =
+  const double target_share =
       std::min(1 - this->quantile.load(std::memory_order_relaxed),
-               kPlannedUse * this->share.load(std::memory_order_relaxed));
-  return late * std::clamp(this->won_share.load(std::memory_order_relaxed) /
-                               kWorthwhile,
-                           kLeastUse, 1.0);
+               kTargetBudgetUse * this->share.load(std::memory_order_relaxed));
+  return target_share *
+         std::clamp(this->hedge_win_share.load(std::memory_order_relaxed) /
+                        kTargetWinShare,
+                    kLeastWinFactor, 1.0);
 }
 
 std::optional<Duration> ServicePolicy::hedge_delay() const noexcept {
@@ -100,16 +101,17 @@
   const double load =
       std::max(this->queue_share.load(std::memory_order_relaxed),
                this->failure_share.load(std::memory_order_relaxed));
-  return std::clamp((kShutAbove - load) / (kShutAbove - kOpenBelow), 0.0, 1.0);
+  return std::clamp(
+      (kNoHedgingLoad - load) / (kNoHedgingLoad - kFullHedgingLoad), 0.0, 1.0);
 }
 
-void ServicePolicy::learn(Duration latency) {
+void ServicePolicy::record_latency(Duration latency) {
   const std::lock_guard lock(this->mutex);
   this->latencies.record(latency);
-  if (++this->since_refresh < kSamplesPerRefresh) {
+  if (++this->samples_since_refresh < kSamplesPerRefresh) {
     return;
   }
-  this->since_refresh = 0;
+  this->samples_since_refresh = 0;
   const std::optional<Duration> fresh =
       this->latencies.at(1 - this->hedged_share());
   this->delay.store(fresh.value_or(Duration::zero()).count(),
--- a/ibismux/query/service_policy.h
+++ b/ibismux/query/service_policy.h
@@ -56,7 +56,7 @@
   [[nodiscard]] double tokens() const noexcept { return this->budget.tokens(); }
 
  private:
-  void learn(Duration latency);
+  void record_latency(Duration latency);
   /// The share of calls that the hedge delay is chosen to hedge.
   [[nodiscard]] double hedged_share() const noexcept;
 
@@ -67,11 +67,11 @@
   std::atomic<double> queue_share{0};   ///< Moving average, 0 to 1.
   std::atomic<double> failure_share{0};
   /// Share of hedged shards that a hedge answered; moving average.
-  std::atomic<double> won_share{1};
+  std::atomic<double> hedge_win_share{1};
 
-  std::mutex mutex;  ///< Guards `latencies` and `since_refresh`.
+  std::mutex mutex;  ///< Guards `latencies` and `samples_since_refresh`.
   LatencyQuantile latencies;
-  std::uint32_t since_refresh = 0;
+  std::uint32_t samples_since_refresh = 0;
 };
 
 }  // namespace ibismux::query
--- a/tests/query/gather_test.cc
+++ b/tests/query/gather_test.cc
@@ -197,7 +197,7 @@
   const Result<QueryAnswer> answer = query.gather.take_result();
   cr_assert(answer.error().kind == ErrorKind::kOverloaded);
   cr_assert(answer.error().execution == Execution::kNotRun);
-  cr_assert(query.gather.counts().budget_empty == 1);
+  cr_assert(query.gather.counts().retries_refused == 1);
 }
 
 Test(gather, a_leaving_leaf_gets_no_call) {
--- a/tests/query/policy_test.cc
+++ b/tests/query/policy_test.cc
@@ -166,14 +166,14 @@
 }
 
 Test(deadline_policy, coverage_that_cannot_be_reached_fails_at_once) {
-  using Verdict = DeadlinePolicy::Verdict;
+  using Decision = DeadlinePolicy::Decision;
   const DeadlinePolicy policy(at(100), std::nullopt, 0.6);
-  cr_assert(policy.judge(at(1), 0, 5, 5) == Verdict::kWait);
-  cr_assert(policy.judge(at(1), 0, 2, 5) == Verdict::kFail);
-  cr_assert(policy.judge(at(1), 3, 0, 5) == Verdict::kAnswer);
-  cr_assert(policy.judge(at(1), 3, 2, 5) == Verdict::kWait);
-  cr_assert(policy.judge(at(100), 3, 2, 5) == Verdict::kAnswer);
-  cr_assert(policy.judge(at(100), 2, 3, 5) == Verdict::kFail);
+  cr_assert(policy.decide(at(1), 0, 5, 5) == Decision::kWait);
+  cr_assert(policy.decide(at(1), 0, 2, 5) == Decision::kFail);
+  cr_assert(policy.decide(at(1), 3, 0, 5) == Decision::kAnswer);
+  cr_assert(policy.decide(at(1), 3, 2, 5) == Decision::kWait);
+  cr_assert(policy.decide(at(100), 3, 2, 5) == Decision::kAnswer);
+  cr_assert(policy.decide(at(100), 2, 3, 5) == Decision::kFail);
 }
 
 // Guards against callers that time out although a partial answer was
