--- a/tests/query/engine_test.cc
+++ b/tests/query/engine_test.cc
@@ -114,7 +114,7 @@
   cr_assert(answer->coverage.total == 2);
 }
 
-Test(query_engine, a_caller_that_goes_cancels_the_calls_at_once) {
+Test(query_engine, a_cancelled_query_cancels_its_calls_at_once) {
   EngineFixture fixture;
   fixture.leafs.silent = "s1";
   const Result<QueryAnswer> answer = fixture.ask("catalogue", true);
--- a/tests/query/gather_random_test.cc
+++ b/tests/query/gather_random_test.cc
@@ -22,17 +22,17 @@
       : random(seed),
         pins{this->make_pin(1), this->make_pin(2)},
         query(this->pins[0],
-              this->any(3) * 0.5,
-              this->any(2) == 0 ? std::nullopt
-                                : std::optional(milliseconds(200))) {
+              this->random_below(3) * 0.5,
+              this->random_below(2) == 0 ? std::nullopt
+                                         : std::optional(milliseconds(200))) {
     this->query.learn_delay(milliseconds(20));
-    this->note(this->query.started);
+    this->check_and_record(this->query.started);
   }
 
   void run() {
     while (!this->query.gather.finished()) {
       this->step();
-      this->note(this->query.gather.take_starts());
+      this->check_and_record(this->query.gather.take_starts());
       cr_assert(this->now <= 1001);
     }
     this->check();
@@ -45,19 +45,22 @@
     bool answered = false;
   };
 
-  std::uint32_t any(std::uint32_t count) { return this->random(count); }
+  std::uint32_t random_below(std::uint32_t count) {
+    return this->random(count);
+  }
 
   Pin make_pin(std::uint64_t sequence) {
-    auto release = release_of(
-        sequence, snapshot_of("n" + std::to_string(sequence), sequence,
-                              1 + this->any(6), 1 + this->any(3)));
+    auto release =
+        release_of(sequence, snapshot_of("n" + std::to_string(sequence),
+                                         sequence, 1 + this->random_below(6),
+                                         1 + this->random_below(3)));
     for (release::BackendServer& leaf : release->leafs) {
-      leaf.leaving = this->any(10) == 0;
+      leaf.leaving = this->random_below(10) == 0;
     }
     return pin_of(release);
   }
 
-  void note(const std::vector<GatherCall>& calls) {
+  void check_and_record(const std::vector<GatherCall>& calls) {
     const Pin& pin = this->query.gather.pin();
     for (const GatherCall& call : calls) {
       cr_assert(this->ids.insert(call.sequence).second);
@@ -69,13 +72,14 @@
   }
 
   void step() {
-    const std::uint32_t what = this->any(10);
+    const std::uint32_t what = this->random_below(10);
     if (what == 0 && this->query.gather.wants_restart(this->query.at(now))) {
-      this->query.gather.start(this->pins[1], kSecond, this->query.at(now));
+      this->query.gather.start(this->pins[1], kRestartSequence,
+                               this->query.at(now));
     } else if (what < 4 || this->sent.empty()) {
       this->pass_time();
     } else {
-      this->answer(this->sent[this->any(this->sent.size())]);
+      this->answer(this->sent[this->random_below(this->sent.size())]);
     }
   }
 
@@ -88,16 +92,16 @@
 
   /// Answers a call, possibly one that was already answered or abandoned.
   void answer(Sent& sent) {
-    this->now += this->any(3);
-    const std::uint32_t how = this->any(12);
+    this->now += this->random_below(3);
+    const std::uint32_t how = this->random_below(12);
     if (how == 0) {
       this->query.answer(sent.call.sequence + 7777, body_of("foreign", 1),
                          this->now);
     } else if (how == 1) {
       this->query.answer(sent.call.sequence, "{", this->now);
     } else if (how < 6) {
-      this->query.refuse(sent.call, kKinds[this->any(std::size(kKinds))],
-                         this->now);
+      this->query.refuse(
+          sent.call, kKinds[this->random_below(std::size(kKinds))], this->now);
     } else {
       this->query.answer(
           sent.call.sequence,
@@ -139,7 +143,7 @@
            this->pins[1].snapshot->shards.size();
   }
 
-  static constexpr std::uint64_t kSecond = 500'000;
+  static constexpr std::uint64_t kRestartSequence = 500'000;
 
   pcg32 random;
   Pin pins[2];
@@ -149,7 +153,7 @@
   std::set<std::uint64_t> ids;
 };
 
-Test(gather_random, whatever_happens_the_answer_is_honest_and_nothing_is_left) {
+Test(gather_random, random_events_give_correct_coverage_and_end_all_calls) {
   for (std::uint64_t seed = 0; seed < 3000; ++seed) {
     RandomRun(seed).run();
   }
--- a/tests/query/gather_test.cc
+++ b/tests/query/gather_test.cc
@@ -19,7 +19,8 @@
   Gather gather(
       {DeadlinePolicy(GatherFixture::at(1000), std::nullopt, 1.0), 10, seed},
       {replicas, service, retries});
-  gather.start(usual_pin(64, 3), GatherFixture::kFirst, GatherFixture::at(0));
+  gather.start(usual_pin(64, 3), GatherFixture::kFirstSequence,
+               GatherFixture::at(0));
   std::vector<std::uint32_t> leafs;
   for (const GatherCall& call : gather.take_starts()) {
     leafs.push_back(call.leaf);
@@ -29,12 +30,12 @@
 
 // Guards against replica choices that repeat from query to query, so that some
 // leafs get four calls at once while others are idle.
-Test(gather, queries_in_a_row_choose_replicas_apart) {
+Test(gather, different_seeds_choose_different_replicas) {
   cr_assert(first_leafs(8) != first_leafs(9));
   cr_assert(first_leafs(8) == first_leafs(8));
 }
 
-Test(gather, the_whole_answer_names_every_shard) {
+Test(gather, a_full_answer_names_every_shard) {
   GatherFixture query(usual_pin(3, 1));
   cr_assert(query.started.size() == 3);
   for (const GatherCall& call : query.started) {
@@ -66,7 +67,7 @@
   cr_assert(query.gather.take_cancels().size() == 1);
 }
 
-Test(gather, after_answer_by_the_answer_goes_once_it_covers_enough) {
+Test(gather, after_answer_by_it_answers_once_coverage_is_sufficient) {
   GatherFixture query(usual_pin(3, 1), 0.6, milliseconds(100));
   query.answer_hit(query.started[0], 5);
   query.gather.on_time(query.at(100));
@@ -98,8 +99,8 @@
 // twice.
 Test(gather, foreign_duplicate_and_late_answers_are_dropped) {
   GatherFixture query(usual_pin(2, 1));
-  query.answer(GatherFixture::kFirst - 1, body_of("foreign", 9), 1);
-  query.answer(GatherFixture::kFirst + 50, body_of("foreign", 9), 1);
+  query.answer(GatherFixture::kFirstSequence - 1, body_of("foreign", 9), 1);
+  query.answer(GatherFixture::kFirstSequence + 50, body_of("foreign", 9), 1);
   query.answer_hit(query.started[0], 2);
   query.answer(query.started[0].sequence, body_of("again", 9), 3);
   cr_assert(!query.gather.finished());
@@ -130,7 +131,7 @@
   cr_assert(answer->coverage.missing[0].reason == ErrorKind::kProtocolError);
 }
 
-Test(gather, a_straggler_is_hedged_and_the_loser_cancelled) {
+Test(gather, a_slow_call_is_hedged_and_cancelled_once_the_hedge_answers) {
   GatherFixture query(usual_pin(2, 2));
   query.learn_delay(milliseconds(20));
   query.answer_hit(query.started[0], 2);
@@ -149,7 +150,7 @@
 
 // Guards against a query that waits for a slow call and a slow hedge of the
 // same shard.
-Test(gather, a_hedge_that_straggles_too_is_followed_by_a_last_one) {
+Test(gather, a_slow_hedge_is_followed_by_a_second_and_last_one) {
   GatherFixture query(usual_pin(1, 2));
   query.learn_delay(milliseconds(20));
   query.gather.on_time(query.at(25));
@@ -188,7 +189,7 @@
   cr_assert(query.gather.take_result()->retries == 1);
 }
 
-Test(gather, with_an_empty_budget_a_refusal_is_final_and_said_at_once) {
+Test(gather, with_an_empty_retry_budget_a_refusal_fails_at_once) {
   GatherFixture query(usual_pin(1, 2));
   while (query.retries.take()) {
   }
@@ -211,7 +212,7 @@
   }
 }
 
-Test(gather, a_caller_that_goes_has_its_calls_cancelled) {
+Test(gather, a_cancelled_query_cancels_its_calls) {
   GatherFixture query(usual_pin(3, 1));
   query.answer_hit(query.started[0], 1);
   query.gather.on_cancel(query.at(2));
--- a/tests/query/hit_merger_test.cc
+++ b/tests/query/hit_merger_test.cc
@@ -19,7 +19,7 @@
   cr_assert(hits[0].shard == "s2" && hits[2].shard == "s1");
 }
 
-Test(hit_merger, a_malformed_body_takes_nothing_in) {
+Test(hit_merger, a_malformed_body_adds_no_hits) {
   const char* const bodies[] = {
       "",
       "{",
@@ -46,7 +46,7 @@
   }
 }
 
-Test(hit_merger, what_is_not_known_is_passed_over_and_escapes_are_resolved) {
+Test(hit_merger, unknown_members_are_ignored_and_escapes_are_decoded) {
   HitMerger merger(3);
   cr_assert(merger.merge(
       R"({"took":{"hits":[1],"id":2},"hits":[{"more":{"id":3,"text":[4]},)"
@@ -60,7 +60,7 @@
   cr_assert(hits[1].text == "a\u00e9\n\"b");
 }
 
-Test(hit_merger, no_hits_are_an_answer_too) {
+Test(hit_merger, an_empty_list_of_hits_is_valid) {
   HitMerger merger(3);
   cr_assert(merger.merge(R"({"hits":[]})", "s1"));
   cr_assert(merger.take().empty());
--- a/tests/query/policy_test.cc
+++ b/tests/query/policy_test.cc
@@ -16,7 +16,7 @@
 }
 
 /// Reports latencies from 10 ms to 1.25 s, each 5% longer than the previous.
-void answer_some(ServicePolicy& policy) {
+void report_latencies(ServicePolicy& policy) {
   for (int i = 0; i < 5000; ++i) {
     const double ms = 10 * std::pow(1.05, i % 100);
     policy.call_answered(milliseconds(std::lround(ms)), Duration::zero());
@@ -51,7 +51,7 @@
   cr_assert(hedges >= 149);
 }
 
-Test(service_policy, a_budget_of_nothing_allows_no_hedge) {
+Test(service_policy, a_hedge_share_of_zero_allows_no_hedge) {
   ServicePolicy policy(0.95, 0);
   policy.calls_started(100'000);
   cr_assert(!policy.take_hedge());
@@ -59,7 +59,7 @@
 
 // Guards against hedges that under overload lengthen the very queues that made
 // calls slow.
-Test(service_policy, the_budget_shuts_while_calls_queue_or_fail) {
+Test(service_policy, hedging_stops_while_calls_queue_or_fail) {
   ServicePolicy queueing(0.95, 0.05);
   ServicePolicy failing(0.95, 0.05);
   for (int i = 0; i < 1000; ++i) {
@@ -76,7 +76,7 @@
 
 // Guards against a delay that falls until nearly every call is hedged, because
 // slow calls are abandoned and drop out of the quantile.
-Test(service_policy, calls_that_were_given_up_count_as_slow) {
+Test(service_policy, abandoned_calls_count_as_slow) {
   ServicePolicy policy(0.9, 0.05);
   for (int i = 0; i < 5000; ++i) {
     if (i % 5 == 0) {
@@ -89,25 +89,25 @@
 }
 
 // Guards against hedges that cost extra calls but never answer first.
-Test(service_policy, hedges_that_do_not_win_become_fewer) {
+Test(service_policy, hedges_that_rarely_win_become_fewer) {
   ServicePolicy policy(0.95, 0.05);
-  answer_some(policy);
+  report_latencies(policy);
   const Duration at_first = *policy.hedge_delay();
   for (int i = 0; i < 300; ++i) {
     policy.hedge_settled(false);
   }
-  answer_some(policy);
+  report_latencies(policy);
   cr_assert(*policy.hedge_delay() > at_first);
   for (int i = 0; i < 300; ++i) {
     policy.hedge_settled(i % 2 == 0);
   }
-  answer_some(policy);
+  report_latencies(policy);
   cr_assert(*policy.hedge_delay() == at_first);
 }
 
 // Guards against hedging of nearly every call after the index changes, when
 // restarted queries abandon many calls early.
-Test(service_policy, calls_given_up_early_say_nothing) {
+Test(service_policy, calls_abandoned_early_are_ignored) {
   ServicePolicy policy(0.9, 0.05);
   for (int i = 0; i < 1000; ++i) {
     policy.call_answered(milliseconds(50), Duration::zero());
@@ -118,7 +118,7 @@
   cr_assert(*policy.hedge_delay() >= milliseconds(48));
 }
 
-Test(leaf_stats, slow_busy_and_failing_leafs_cost_more_until_it_is_forgotten) {
+Test(leaf_stats, slow_busy_and_failing_leafs_cost_more_until_it_decays) {
   LeafStats usual;
   LeafStats slow;
   LeafStats failing;
@@ -140,7 +140,7 @@
 
 // Guards against a slow leaf that gets more calls with hedging than without:
 // its calls are abandoned, and its known latency would decay.
-Test(leaf_stats, calls_given_up_bear_out_that_a_leaf_is_slow) {
+Test(leaf_stats, abandoned_calls_keep_the_cost_of_a_slow_leaf_high) {
   LeafStats leaf;
   leaf.call_started();
   leaf.call_answered(milliseconds(200), at(0));
@@ -165,7 +165,7 @@
   }
 }
 
-Test(deadline_policy, coverage_that_cannot_be_reached_fails_at_once) {
+Test(deadline_policy, unreachable_coverage_fails_at_once) {
   using Decision = DeadlinePolicy::Decision;
   const DeadlinePolicy policy(at(100), std::nullopt, 0.6);
   cr_assert(policy.decide(at(1), 0, 5, 5) == Decision::kWait);
@@ -178,7 +178,7 @@
 
 // Guards against callers that time out although a partial answer was
 // available.
-Test(gather_plan, a_callers_deadline_leaves_time_for_the_way_back) {
+Test(gather_plan, a_callers_deadline_reserves_time_for_the_response) {
   release::QueryService spec;
   spec.deadline = milliseconds(1000);
   QueryRequest request;
--- a/tests/query/query_fixture.h
+++ b/tests/query/query_fixture.h
@@ -86,7 +86,7 @@
                GatherPolicies{this->replicas, this->service, this->retries}) {
     this->service.calls_started(1000);
     this->retries.deposit(1000, 0.1);
-    this->gather.start(std::move(pin), kFirst, this->at(0));
+    this->gather.start(std::move(pin), kFirstSequence, this->at(0));
     this->started = this->gather.take_starts();
   }
 
@@ -116,7 +116,7 @@
   }
 
   static constexpr std::uint64_t kOrigin = 5;
-  static constexpr std::uint64_t kFirst = 1000;
+  static constexpr std::uint64_t kFirstSequence = 1000;
 
   CheaperOfTwo replicas;
   ServicePolicy service{0.95, 0.05};
--- a/tests/query/restart_test.cc
+++ b/tests/query/restart_test.cc
@@ -7,7 +7,7 @@
 namespace ibismux::query {
 namespace {
 
-constexpr std::uint64_t kSecond = 5000;
+constexpr std::uint64_t kRestartSequence = 5000;
 
 Pin old_pin() {
   return pin_of(release_of(1, snapshot_of("n1", 1, 3, 1)));
@@ -18,12 +18,12 @@
 }
 
 // Guards against an answer with hits of two snapshots.
-Test(restart, nothing_of_the_old_snapshot_stays) {
+Test(restart, hits_of_the_old_snapshot_are_discarded) {
   GatherFixture query(old_pin());
   query.answer_hit(query.started[0], 2);
   query.refuse(query.started[1], ErrorKind::kSnapshotGone, 3);
   cr_assert(query.gather.wants_restart(query.at(3)));
-  query.gather.start(new_pin(), kSecond, query.at(3));
+  query.gather.start(new_pin(), kRestartSequence, query.at(3));
   cr_assert(query.gather.take_cancels().size() == 1);
   const std::vector<GatherCall> again = query.gather.take_starts();
   cr_assert(again.size() == 4);
@@ -41,10 +41,10 @@
   cr_assert(query.gather.counts().foreign == 1);
 }
 
-Test(restart, it_happens_once) {
+Test(restart, it_happens_at_most_once) {
   GatherFixture query(old_pin(), 0.5);
   query.refuse(query.started[1], ErrorKind::kSnapshotGone, 3);
-  query.gather.start(new_pin(), kSecond, query.at(3));
+  query.gather.start(new_pin(), kRestartSequence, query.at(3));
   const std::vector<GatherCall> again = query.gather.take_starts();
   query.refuse(again[0], ErrorKind::kSnapshotGone, 5);
   cr_assert(!query.gather.wants_restart(query.at(5)));
@@ -72,7 +72,7 @@
 
 // Guards against queries that all last until their deadline because a leaf has
 // lost its index.
-Test(restart, an_answer_that_covers_enough_waits_a_moment_only) {
+Test(restart, with_sufficient_coverage_it_waits_only_briefly) {
   GatherFixture query(old_pin(), 0.5);
   query.answer_hit(query.started[0], 2);
   query.refuse(query.started[1], ErrorKind::kSnapshotGone, 3);
@@ -84,7 +84,7 @@
   cr_assert(query.gather.take_result()->coverage.contributed.size() == 2);
 }
 
-Test(restart, an_answer_that_covers_too_little_waits_for_a_newer_snapshot) {
+Test(restart, with_too_little_coverage_it_waits_for_a_newer_snapshot) {
   GatherFixture query(old_pin());
   query.refuse(query.started[1], ErrorKind::kSnapshotGone, 3);
   query.gather.on_time(query.at(900));
