--- a/ibismux/query/query_metrics.cc
+++ b/ibismux/query/query_metrics.cc
@@ -129,7 +129,7 @@
     this->count_calls(counts);
     this->seconds.Observe(to_seconds(took));
     this->hedge_tokens.Set(policy.tokens());
-    this->hedge_openness.Set(policy.openness());
+    this->hedge_openness.Set(policy.hedge_budget_factor());
     this->hedge_delay.Set(
         to_seconds(policy.hedge_delay().value_or(Duration::zero())));
   }
--- a/ibismux/query/service_policy.cc
+++ b/ibismux/query/service_policy.cc
@@ -51,8 +51,8 @@
 }
 
 void ServicePolicy::calls_started(std::size_t calls) noexcept {
-  this->budget.deposit(
-      calls, this->share.load(std::memory_order_relaxed) * this->openness());
+  this->budget.deposit(calls, this->share.load(std::memory_order_relaxed) *
+                                  this->hedge_budget_factor());
 }
 
 void ServicePolicy::call_answered(Duration latency, Duration queue_time) {
@@ -97,7 +97,7 @@
   return known == Duration::zero() ? std::nullopt : std::optional(known);
 }
 
-double ServicePolicy::openness() const noexcept {
+double ServicePolicy::hedge_budget_factor() const noexcept {
   const double load =
       std::max(this->queue_share.load(std::memory_order_relaxed),
                this->failure_share.load(std::memory_order_relaxed));
--- a/ibismux/query/service_policy.h
+++ b/ibismux/query/service_policy.h
@@ -51,7 +51,7 @@
 
   /// Factor by which load scales the hedge budget: 1 while leafs have spare
   /// capacity, 0 when hedges would only lengthen their queues.
-  [[nodiscard]] double openness() const noexcept;
+  [[nodiscard]] double hedge_budget_factor() const noexcept;
 
   [[nodiscard]] double tokens() const noexcept { return this->budget.tokens(); }
 
--- a/tests/query/policy_test.cc
+++ b/tests/query/policy_test.cc
@@ -66,12 +66,12 @@
     queueing.call_answered(milliseconds(40), milliseconds(30));
     failing.call_failed();
   }
-  cr_assert(queueing.openness() == 0);
-  cr_assert(failing.openness() == 0);
+  cr_assert(queueing.hedge_budget_factor() == 0);
+  cr_assert(failing.hedge_budget_factor() == 0);
   for (int i = 0; i < 1000; ++i) {
     queueing.call_answered(milliseconds(10), milliseconds(0));
   }
-  cr_assert(queueing.openness() == 1);
+  cr_assert(queueing.hedge_budget_factor() == 1);
 }
 
 // Guards against a delay that falls until nearly every call is hedged, because
