--- a/ibismux/query/gather.h
+++ b/ibismux/query/gather.h
@@ -55,7 +55,7 @@
   /// `next_wake()` has passed.
   void on_time(TimePoint now);
 
-  /// The caller has cancelled the query.
+  /// The caller no longer waits for the answer. Ends the query with kCancelled.
   void on_cancel(TimePoint now);
 
   /// @}
@@ -124,8 +124,8 @@
   Call* outstanding_call(const CallId& id) noexcept;
   void on_body(Call& call, const gateway::LeafAnswer& answer, TimePoint now);
   void on_error(Call& call, const Error& error, TimePoint now);
-  /// The last outstanding call of an open shard has failed: schedules a retry
-  /// or fails the shard.
+  /// The last outstanding call of an open shard has failed: schedules a retry,
+  /// marks the snapshot as gone or fails the shard.
   void on_last_call_failed(std::uint32_t shard,
                            const Error& error,
                            TimePoint now);
--- a/ibismux/query/query_answer.h
+++ b/ibismux/query/query_answer.h
@@ -44,7 +44,7 @@
   Coverage coverage;
   std::vector<Hit> hits;  ///< By descending score, then by id.
 
-  /// Numbers of calls sent to leafs.
+  /// Load that the query put on the leafs.
   std::uint32_t leaf_calls = 0;
   std::uint32_t hedges = 0;
   std::uint32_t retries = 0;
