--- a/apps/bench-policy/sim_daemon.cc
+++ b/apps/bench-policy/sim_daemon.cc
@@ -197,7 +197,7 @@
     }
     query->wake = TimePoint::max();
     if (query->gather.next_wake() <= due) {
-      query->gather.on_time(due);
+      query->gather.on_timer(due);
     }
     this->perform(query);
   });
--- a/ibismux/query/active_query.cc
+++ b/ibismux/query/active_query.cc
@@ -49,7 +49,7 @@
   while (!query->gather.finished()) {
     query->timer.expires_at(query->gather.next_wake());
     co_await query->timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    query->on_time();
+    query->on_timer();
   }
   Result<QueryAnswer> result = query->gather.take_result();
   query->service->metrics->query_ended(result, query->gather.counts(),
@@ -85,12 +85,12 @@
   this->timer.cancel();
 }
 
-void ActiveQuery::on_time() {
+void ActiveQuery::on_timer() {
   const TimePoint now = Clock::now();
   if (this->gather.finished() || now < this->gather.next_wake()) {
     return;
   }
-  this->gather.on_time(now);
+  this->gather.on_timer(now);
   this->restart_if_wanted(now);
   this->perform();
 }
--- a/ibismux/query/active_query.h
+++ b/ibismux/query/active_query.h
@@ -54,7 +54,7 @@
  private:
   void on_answer(const gateway::LeafAnswer& answer);
   void on_cancel();
-  void on_time();
+  void on_timer();
   /// Restarts the query if shards no longer hold the pinned snapshot and this
   /// daemon knows a newer one.
   void restart_if_wanted(TimePoint now);
--- a/ibismux/query/gather.h
+++ b/ibismux/query/gather.h
@@ -53,7 +53,7 @@
 
   /// Starts due retries and hedges and checks the deadlines. Called when
   /// `next_wake()` has passed.
-  void on_time(TimePoint now);
+  void on_timer(TimePoint now);
 
   /// The caller no longer waits for the answer. Ends the query with kCancelled.
   void on_cancel(TimePoint now);
--- a/ibismux/query/gather_timing.cc
+++ b/ibismux/query/gather_timing.cc
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-void Gather::on_time(TimePoint now) {
+void Gather::on_timer(TimePoint now) {
   if (this->is_finished) {
     return;
   }
--- a/tests/query/gather_random_test.cc
+++ b/tests/query/gather_random_test.cc
@@ -87,7 +87,7 @@
     const auto wake = std::chrono::ceil<milliseconds>(
         this->query.gather.next_wake() - this->query.at(0));
     this->now = std::max<int>(this->now, wake.count());
-    this->query.gather.on_time(this->query.at(this->now));
+    this->query.gather.on_timer(this->query.at(this->now));
   }
 
   /// Answers a call, possibly one that was already answered or abandoned.
--- a/tests/query/gather_test.cc
+++ b/tests/query/gather_test.cc
@@ -57,7 +57,7 @@
   query.answer_hit(query.started[0], 5);
   query.answer_hit(query.started[2], 6);
   cr_assert(query.gather.next_wake() == query.at(100));
-  query.gather.on_time(query.at(100));
+  query.gather.on_timer(query.at(100));
   cr_assert(query.gather.finished());
   const Result<QueryAnswer> answer = query.gather.take_result();
   cr_assert(answer->coverage.contributed.size() == 2);
@@ -70,7 +70,7 @@
 Test(gather, after_answer_by_it_answers_once_coverage_is_sufficient) {
   GatherFixture query(usual_pin(3, 1), 0.6, milliseconds(100));
   query.answer_hit(query.started[0], 5);
-  query.gather.on_time(query.at(100));
+  query.gather.on_timer(query.at(100));
   cr_assert(!query.gather.finished());
   query.answer_hit(query.started[1], 150);
   cr_assert(query.gather.finished());
@@ -81,14 +81,14 @@
   query.answer_hit(query.started[0], 5);
   query.answer_hit(query.started[1], 5);
   cr_assert(query.gather.next_wake() == query.at(1000));
-  query.gather.on_time(query.at(1000));
+  query.gather.on_timer(query.at(1000));
   cr_assert(query.gather.take_result()->coverage.contributed.size() == 2);
 }
 
 Test(gather, too_little_coverage_at_the_deadline_is_an_error) {
   GatherFixture query(usual_pin(3, 1));
   query.answer_hit(query.started[0], 5);
-  query.gather.on_time(query.at(1000));
+  query.gather.on_timer(query.at(1000));
   const Result<QueryAnswer> answer = query.gather.take_result();
   cr_assert(answer.error().kind == ErrorKind::kDeadlineExceeded);
   cr_assert(answer.error().execution == Execution::kUnknown);
@@ -119,7 +119,7 @@
   for (std::uint32_t i = 0; i < Gather::kMostAttempts; ++i) {
     const GatherCall call = i == 0 ? query.started[1] : query.started[0];
     query.answer(call.sequence, R"({"hits":[{"id":"x")", 3);
-    query.gather.on_time(query.at(200 * (i + 1)));
+    query.gather.on_timer(query.at(200 * (i + 1)));
     query.started = query.gather.take_starts();
     if (query.started.empty()) {
       break;
@@ -135,7 +135,7 @@
   GatherFixture query(usual_pin(2, 2));
   query.learn_delay(milliseconds(20));
   query.answer_hit(query.started[0], 2);
-  query.gather.on_time(query.at(40));
+  query.gather.on_timer(query.at(40));
   const std::vector<GatherCall> hedges = query.gather.take_starts();
   cr_assert(hedges.size() == 1);
   cr_assert(hedges[0].shard == query.started[1].shard);
@@ -153,14 +153,14 @@
 Test(gather, a_slow_hedge_is_followed_by_a_second_and_last_one) {
   GatherFixture query(usual_pin(1, 2));
   query.learn_delay(milliseconds(20));
-  query.gather.on_time(query.at(25));
+  query.gather.on_timer(query.at(25));
   cr_assert(query.gather.take_starts().size() == 1);
-  query.gather.on_time(query.at(50));
+  query.gather.on_timer(query.at(50));
   cr_assert(query.gather.take_starts().empty());
-  query.gather.on_time(query.at(70));
+  query.gather.on_timer(query.at(70));
   const std::vector<GatherCall> last = query.gather.take_starts();
   cr_assert(last.size() == 1);
-  query.gather.on_time(query.at(500));
+  query.gather.on_timer(query.at(500));
   cr_assert(query.gather.take_starts().empty());
   query.answer_hit(last[0], 501);
   cr_assert(query.gather.take_cancels().size() == 2);
@@ -172,10 +172,10 @@
   query.learn_delay(milliseconds(20));
   while (query.service.take_hedge()) {
   }
-  query.gather.on_time(query.at(25));
+  query.gather.on_timer(query.at(25));
   cr_assert(query.gather.take_starts().empty());
   query.service.calls_started(1000);
-  query.gather.on_time(query.gather.next_wake());
+  query.gather.on_timer(query.gather.next_wake());
   cr_assert(query.gather.take_starts().size() == 1);
 }
 
--- a/tests/query/restart_test.cc
+++ b/tests/query/restart_test.cc
@@ -63,7 +63,7 @@
   cr_assert(query.gather.next_wake() < query.at(20));
   query.answer_hit(query.started[2], 6);
   cr_assert(query.gather.wants_restart(query.at(50)));
-  query.gather.on_time(query.at(95));
+  query.gather.on_timer(query.at(95));
   cr_assert(query.gather.finished());
   const Result<QueryAnswer> answer = query.gather.take_result();
   cr_assert(answer->snapshot == "n1");
@@ -77,9 +77,9 @@
   query.answer_hit(query.started[0], 2);
   query.refuse(query.started[1], ErrorKind::kSnapshotGone, 3);
   query.answer_hit(query.started[2], 6);
-  query.gather.on_time(query.at(20));
+  query.gather.on_timer(query.at(20));
   cr_assert(!query.gather.finished());
-  query.gather.on_time(query.at(60));
+  query.gather.on_timer(query.at(60));
   cr_assert(query.gather.finished());
   cr_assert(query.gather.take_result()->coverage.contributed.size() == 2);
 }
@@ -87,7 +87,7 @@
 Test(restart, with_too_little_coverage_it_waits_for_a_newer_snapshot) {
   GatherFixture query(old_pin());
   query.refuse(query.started[1], ErrorKind::kSnapshotGone, 3);
-  query.gather.on_time(query.at(900));
+  query.gather.on_timer(query.at(900));
   cr_assert(query.gather.wants_restart(query.at(900)));
 }
 
