--- a/apps/bench-policy/scenario_cost.cc
+++ b/apps/bench-policy/scenario_cost.cc
@@ -25,7 +25,7 @@
          std::chrono::nanoseconds(now.tv_nsec);
 }
 
-query::Pin pin_of(std::uint32_t shards) {
+query::PinnedSnapshot pin_of(std::uint32_t shards) {
   auto release = std::make_shared<release::Release>();
   auto snapshot = std::make_shared<release::SnapshotView>();
   auto leafs =
@@ -57,7 +57,7 @@
 /// Processor time of one query with all its answers, in microseconds.
 double query_cost(std::uint32_t shards, std::uint64_t seed) {
   pcg64 random(seed);
-  const query::Pin pin = pin_of(shards);
+  const query::PinnedSnapshot pin = pin_of(shards);
   const std::string body = body_of(random);
   const query::CheaperOfTwo replicas;
   query::ServicePolicy service(0.95, 0.05);
--- a/apps/bench-policy/sim_daemon.cc
+++ b/apps/bench-policy/sim_daemon.cc
@@ -120,8 +120,9 @@
 }
 
 void SimDaemon::begin(const std::shared_ptr<Query>& query) {
-  query::Pin pin{query->set->release, query->service->snapshots.front(),
-                 query->set->leafs};
+  query::PinnedSnapshot pin{query->set->release,
+                            query->service->snapshots.front(),
+                            query->set->leafs};
   const std::uint64_t first = this->ids.reserve(query::Gather::ids_needed(pin));
   query->gather.start(std::move(pin), first, this->world.timeline.now());
   this->perform(query);
@@ -132,7 +133,7 @@
   if (!query.gather.wants_restart(now)) {
     return;
   }
-  std::optional<query::Pin> newer = this->table.newer_pin(
+  std::optional<query::PinnedSnapshot> newer = this->table.newer_pin(
       query.end.service, query.gather.pin().snapshot->sequence);
   if (newer.has_value()) {
     const std::uint64_t first =
--- a/ibismux/query/active_query.cc
+++ b/ibismux/query/active_query.cc
@@ -27,7 +27,7 @@
       executor(std::move(executor)),
       timer(this->executor) {}
 
-void ActiveQuery::start(Pin pin,
+void ActiveQuery::start(PinnedSnapshot pin,
                         Priority priority,
                         const std::shared_ptr<http::CancelToken>& cancel) {
   this->priority = priority;
@@ -99,7 +99,7 @@
   if (!this->gather.wants_restart(now)) {
     return;
   }
-  std::optional<Pin> newer = this->context.table.newer_pin(
+  std::optional<PinnedSnapshot> newer = this->context.table.newer_pin(
       this->request.service, this->gather.pin().snapshot->sequence);
   if (newer.has_value()) {
     const std::uint64_t first =
@@ -117,7 +117,7 @@
   if (calls.empty()) {
     return;
   }
-  const Pin& pin = this->gather.pin();
+  const PinnedSnapshot& pin = this->gather.pin();
   gateway::LeafCallBatch batch;
   batch.origin = this->context.ids.origin();
   batch.kind = gateway::LeafCallKind::kQuery;
--- a/ibismux/query/active_query.h
+++ b/ibismux/query/active_query.h
@@ -42,7 +42,7 @@
 
   /// Sends the first calls to all shards of `pin`. Precondition: called once.
   /// @param cancel May be null.
-  void start(Pin pin,
+  void start(PinnedSnapshot pin,
              Priority priority,
              const std::shared_ptr<http::CancelToken>& cancel);
 
--- a/ibismux/query/forward.h
+++ b/ibismux/query/forward.h
@@ -7,7 +7,7 @@
 struct GatherCall;
 struct GatherPlan;
 struct Hit;
-struct Pin;
+struct PinnedSnapshot;
 struct QueryAnswer;
 struct QueryRequest;
 struct GatherCounts;
--- a/ibismux/query/gather.cc
+++ b/ibismux/query/gather.cc
@@ -51,12 +51,14 @@
       retry_after(kDefaultRetryAfter),
       wake(this->plan.deadlines.deadline()) {}
 
-std::uint64_t Gather::ids_needed(const Pin& pin) noexcept {
+std::uint64_t Gather::ids_needed(const PinnedSnapshot& pin) noexcept {
   return static_cast<std::uint64_t>(pin.snapshot->shards.size()) *
          kMostAttempts;
 }
 
-void Gather::start(Pin pin, std::uint64_t first_sequence, TimePoint now) {
+void Gather::start(PinnedSnapshot pin,
+                   std::uint64_t first_sequence,
+                   TimePoint now) {
   if (this->pinned.snapshot != nullptr) {
     this->abandon_all_calls(now);
     ++this->call_counts.restarts;
--- a/ibismux/query/gather.h
+++ b/ibismux/query/gather.h
@@ -11,7 +11,7 @@
 #include "ibismux/gateway/leaf_call.h"
 #include "ibismux/query/gather_plan.h"
 #include "ibismux/query/hit_merger.h"
-#include "ibismux/query/pin.h"
+#include "ibismux/query/pinned_snapshot.h"
 #include "ibismux/query/query_answer.h"
 
 namespace ibismux::query {
@@ -32,7 +32,8 @@
   Gather(const GatherPlan& plan, GatherPolicies policies);
 
   /// The most call ids that a query of `pin` needs.
-  [[nodiscard]] static std::uint64_t ids_needed(const Pin& pin) noexcept;
+  [[nodiscard]] static std::uint64_t ids_needed(
+      const PinnedSnapshot& pin) noexcept;
 
   /// @name Inputs
   /// @{
@@ -42,7 +43,7 @@
   /// abandoned and its hits are discarded.
   /// @param first_sequence First of `ids_needed(pin)` consecutive call ids that
   /// are reserved for this start.
-  void start(Pin pin, std::uint64_t first_sequence, TimePoint now);
+  void start(PinnedSnapshot pin, std::uint64_t first_sequence, TimePoint now);
 
   /// A call ended. `answer` is merged only if its call is still outstanding,
   /// which guarantees that it belongs to the pinned snapshot.
@@ -78,7 +79,9 @@
   [[nodiscard]] const GatherCounts& counts() const noexcept {
     return this->call_counts;
   }
-  [[nodiscard]] const Pin& pin() const noexcept { return this->pinned; }
+  [[nodiscard]] const PinnedSnapshot& pin() const noexcept {
+    return this->pinned;
+  }
   /// @}
 
  private:
@@ -162,7 +165,7 @@
   GatherPlan plan;
   GatherPolicies policies;
   pcg64 random;
-  Pin pinned;
+  PinnedSnapshot pinned;
   std::uint64_t first_sequence = 0;
   std::vector<Call> calls;  ///< Indexed by sequence - `first_sequence`.
   std::vector<ShardProgress> shards;
--- a/ibismux/query/pin.h
+++ b/ibismux/query/pinned_snapshot.h
@@ -1,5 +1,5 @@
-#ifndef IBISMUX_QUERY_PIN_H_
-#define IBISMUX_QUERY_PIN_H_
+#ifndef IBISMUX_QUERY_PINNED_SNAPSHOT_H_
+#define IBISMUX_QUERY_PINNED_SNAPSHOT_H_
 
 #include <memory>
 #include <vector>
@@ -12,7 +12,7 @@
 /// A snapshot of a release that is kept alive while a query uses it. The query
 /// reads only from here, so a release that comes into force meanwhile can't mix
 /// into its answer.
-struct Pin {
+struct PinnedSnapshot {
   std::shared_ptr<const release::Release> release;
   std::shared_ptr<const release::SnapshotView> snapshot;
   /// In the same order as the release's leafs.
@@ -21,4 +21,4 @@
 
 }  // namespace ibismux::query
 
-#endif  // IBISMUX_QUERY_PIN_H_
+#endif  // IBISMUX_QUERY_PINNED_SNAPSHOT_H_
--- a/ibismux/query/policy_table.cc
+++ b/ibismux/query/policy_table.cc
@@ -43,8 +43,9 @@
   return set->release == this->releases.read() ? set : this->rebuild();
 }
 
-std::optional<Pin> PolicyTable::newer_pin(const std::string& service,
-                                          std::uint64_t after_sequence) {
+std::optional<PinnedSnapshot> PolicyTable::newer_pin(
+    const std::string& service,
+    std::uint64_t after_sequence) {
   const std::shared_ptr<const PolicySet> set = this->current();
   const auto found = set->release->services.find(service);
   if (found == set->release->services.end() ||
@@ -55,7 +56,7 @@
   if (newest->sequence <= after_sequence) {
     return std::nullopt;
   }
-  return Pin{set->release, newest, set->leafs};
+  return PinnedSnapshot{set->release, newest, set->leafs};
 }
 
 std::shared_ptr<const PolicySet> PolicyTable::rebuild() {
--- a/ibismux/query/policy_table.h
+++ b/ibismux/query/policy_table.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "ibismux/base/rcu_cell.h"
-#include "ibismux/query/pin.h"
+#include "ibismux/query/pinned_snapshot.h"
 #include "ibismux/query/query_metrics.h"
 #include "ibismux/query/service_policy.h"
 #include "ibismux/release/forward.h"
@@ -48,8 +48,9 @@
 
   /// The newest snapshot of `service` if its sequence is greater than
   /// `after_sequence`.
-  [[nodiscard]] std::optional<Pin> newer_pin(const std::string& service,
-                                             std::uint64_t after_sequence);
+  [[nodiscard]] std::optional<PinnedSnapshot> newer_pin(
+      const std::string& service,
+      std::uint64_t after_sequence);
 
  private:
   std::shared_ptr<const PolicySet> rebuild();
--- a/ibismux/query/query_engine.cc
+++ b/ibismux/query/query_engine.cc
@@ -77,8 +77,9 @@
                    this->retries},
       std::move(request), set->services.find(service.spec.name)->second, plan,
       executor);
-  query->start(Pin{set->release, service.snapshots.front(), set->leafs},
-               service.spec.priority, cancel);
+  query->start(
+      PinnedSnapshot{set->release, service.snapshots.front(), set->leafs},
+      service.spec.priority, cancel);
   Result<QueryAnswer> result = co_await ActiveQuery::finish(query);
   this->metrics.retry_tokens(this->retries.tokens());
   co_return result;
--- a/ibismux/query/replica_choice.cc
+++ b/ibismux/query/replica_choice.cc
@@ -10,14 +10,14 @@
 
 }  // namespace
 
-std::uint32_t RandomReplica::choose(const Pin& /*pin*/,
+std::uint32_t RandomReplica::choose(const PinnedSnapshot& /*pin*/,
                                     std::span<const std::uint32_t> candidates,
                                     std::uint64_t random,
                                     TimePoint /*now*/) const {
   return candidates[random % candidates.size()];
 }
 
-std::uint32_t CheaperOfTwo::choose(const Pin& pin,
+std::uint32_t CheaperOfTwo::choose(const PinnedSnapshot& pin,
                                    std::span<const std::uint32_t> candidates,
                                    std::uint64_t random,
                                    TimePoint now) const {
--- a/ibismux/query/replica_choice.h
+++ b/ibismux/query/replica_choice.h
@@ -6,7 +6,7 @@
 #include <span>
 
 #include "ibismux/base/time.h"
-#include "ibismux/query/pin.h"
+#include "ibismux/query/pinned_snapshot.h"
 
 namespace ibismux::query {
 
@@ -22,7 +22,7 @@
   /// @param random Uniformly distributed over all values of the type.
   /// @return One of the candidates.
   [[nodiscard]] virtual std::uint32_t choose(
-      const Pin& pin,
+      const PinnedSnapshot& pin,
       std::span<const std::uint32_t> candidates,
       std::uint64_t random,
       TimePoint now) const = 0;
@@ -32,7 +32,7 @@
 /// other choices are compared.
 class RandomReplica final : public ReplicaChoice {
  public:
-  [[nodiscard]] std::uint32_t choose(const Pin& pin,
+  [[nodiscard]] std::uint32_t choose(const PinnedSnapshot& pin,
                                      std::span<const std::uint32_t> candidates,
                                      std::uint64_t random,
                                      TimePoint now) const override;
@@ -42,7 +42,7 @@
 /// would make all daemons send to the same replica at once.
 class CheaperOfTwo final : public ReplicaChoice {
  public:
-  [[nodiscard]] std::uint32_t choose(const Pin& pin,
+  [[nodiscard]] std::uint32_t choose(const PinnedSnapshot& pin,
                                      std::span<const std::uint32_t> candidates,
                                      std::uint64_t random,
                                      TimePoint now) const override;
--- a/tests/query/gather_random_test.cc
+++ b/tests/query/gather_random_test.cc
@@ -49,7 +49,7 @@
     return this->random(count);
   }
 
-  Pin make_pin(std::uint64_t sequence) {
+  PinnedSnapshot make_pin(std::uint64_t sequence) {
     auto release =
         release_of(sequence, snapshot_of("n" + std::to_string(sequence),
                                          sequence, 1 + this->random_below(6),
@@ -61,7 +61,7 @@
   }
 
   void check_and_record(const std::vector<GatherCall>& calls) {
-    const Pin& pin = this->query.gather.pin();
+    const PinnedSnapshot& pin = this->query.gather.pin();
     for (const GatherCall& call : calls) {
       cr_assert(this->ids.insert(call.sequence).second);
       cr_assert(!pin.release->leafs[call.leaf].leaving);
@@ -111,8 +111,8 @@
   }
 
   void check() {
-    const Pin& pin = this->query.gather.pin();
-    for (const Pin& each : this->pins) {
+    const PinnedSnapshot& pin = this->query.gather.pin();
+    for (const PinnedSnapshot& each : this->pins) {
       for (const auto& leaf : *each.leafs) {
         cr_assert(leaf->calls_outstanding() == 0);
       }
@@ -146,7 +146,7 @@
   static constexpr std::uint64_t kRestartSequence = 500'000;
 
   pcg32 random;
-  Pin pins[2];
+  PinnedSnapshot pins[2];
   GatherFixture query;
   int now = 0;
   std::vector<Sent> sent;
--- a/tests/query/gather_test.cc
+++ b/tests/query/gather_test.cc
@@ -7,7 +7,7 @@
 namespace ibismux::query {
 namespace {
 
-Pin usual_pin(std::uint32_t shards, std::uint32_t replicas) {
+PinnedSnapshot usual_pin(std::uint32_t shards, std::uint32_t replicas) {
   return pin_of(release_of(1, snapshot_of("n1", 1, shards, replicas)));
 }
 
--- a/tests/query/policy_test.cc
+++ b/tests/query/policy_test.cc
@@ -155,7 +155,7 @@
 }
 
 Test(replica_choice, the_cheaper_of_two_is_taken) {
-  const Pin pin = pin_of(release_of(1, snapshot_of("n1", 1, 1, 2)));
+  const PinnedSnapshot pin = pin_of(release_of(1, snapshot_of("n1", 1, 1, 2)));
   (*pin.leafs)[0]->call_started();
   const CheaperOfTwo choice;
   const std::uint32_t candidates[] = {0, 1};
--- a/tests/query/query_fixture.h
+++ b/tests/query/query_fixture.h
@@ -56,13 +56,14 @@
   return release;
 }
 
-inline Pin pin_of(std::shared_ptr<release::Release> release) {
+inline PinnedSnapshot pin_of(std::shared_ptr<release::Release> release) {
   auto leafs = std::make_shared<std::vector<std::shared_ptr<LeafStats>>>();
   for (std::size_t i = 0; i < release->leafs.size(); ++i) {
     leafs->push_back(std::make_shared<LeafStats>());
   }
   auto snapshot = release->services.begin()->second->snapshots.front();
-  return Pin{std::move(release), std::move(snapshot), std::move(leafs)};
+  return PinnedSnapshot{std::move(release), std::move(snapshot),
+                        std::move(leafs)};
 }
 
 /// The body of a leaf's answer with one hit.
@@ -73,7 +74,7 @@
 
 /// A started `Gather` with its own policies and a simulated clock.
 struct GatherFixture {
-  explicit GatherFixture(Pin pin,
+  explicit GatherFixture(PinnedSnapshot pin,
                          double min_coverage = 1.0,
                          std::optional<milliseconds> answer_by = std::nullopt)
       : gather(GatherPlan{DeadlinePolicy(
--- a/tests/query/restart_test.cc
+++ b/tests/query/restart_test.cc
@@ -9,11 +9,11 @@
 
 constexpr std::uint64_t kRestartSequence = 5000;
 
-Pin old_pin() {
+PinnedSnapshot old_pin() {
   return pin_of(release_of(1, snapshot_of("n1", 1, 3, 1)));
 }
 
-Pin new_pin() {
+PinnedSnapshot new_pin() {
   return pin_of(release_of(2, snapshot_of("n2", 2, 4, 1)));
 }
 
