--- a/apps/bench-policy/sim_daemon.cc
+++ b/apps/bench-policy/sim_daemon.cc
@@ -133,7 +133,7 @@
   if (!query.gather.wants_restart(now)) {
     return;
   }
-  std::optional<query::PinnedSnapshot> newer = this->table.newer_pin(
+  std::optional<query::PinnedSnapshot> newer = this->table.newer_snapshot(
       query.end.service, query.gather.pin().snapshot->sequence);
   if (newer.has_value()) {
     const std::uint64_t first =
--- a/ibismux/query/active_query.cc
+++ b/ibismux/query/active_query.cc
@@ -99,7 +99,7 @@
   if (!this->gather.wants_restart(now)) {
     return;
   }
-  std::optional<PinnedSnapshot> newer = this->context.table.newer_pin(
+  std::optional<PinnedSnapshot> newer = this->context.table.newer_snapshot(
       this->request.service, this->gather.pin().snapshot->sequence);
   if (newer.has_value()) {
     const std::uint64_t first =
--- a/ibismux/query/policy_table.cc
+++ b/ibismux/query/policy_table.cc
@@ -43,7 +43,7 @@
   return set->release == this->releases.read() ? set : this->rebuild();
 }
 
-std::optional<PinnedSnapshot> PolicyTable::newer_pin(
+std::optional<PinnedSnapshot> PolicyTable::newer_snapshot(
     const std::string& service,
     std::uint64_t after_sequence) {
   const std::shared_ptr<const PolicySet> set = this->current();
--- a/ibismux/query/policy_table.h
+++ b/ibismux/query/policy_table.h
@@ -48,7 +48,7 @@
 
   /// The newest snapshot of `service` if its sequence is greater than
   /// `after_sequence`.
-  [[nodiscard]] std::optional<PinnedSnapshot> newer_pin(
+  [[nodiscard]] std::optional<PinnedSnapshot> newer_snapshot(
       const std::string& service,
       std::uint64_t after_sequence);
 
