--- a/ibismux/query/active_query.cc
+++ b/ibismux/query/active_query.cc
@@ -27,7 +27,7 @@
       executor(std::move(executor)),
       timer(this->executor) {}
 
-void ActiveQuery::start(Pin pin,
+void ActiveQuery::start(PinnedSnapshot pin,
                         Priority priority,
                         const std::shared_ptr<http::CancelToken>& cancel) {
   this->priority = priority;
@@ -49,7 +49,7 @@
   while (!query->gather.finished()) {
     query->timer.expires_at(query->gather.next_wake());
     co_await query->timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    query->on_time();
+    query->on_timer();
   }
   Result<QueryAnswer> result = query->gather.take_result();
   query->service->metrics->query_ended(result, query->gather.counts(),
@@ -70,7 +70,7 @@
   if (answer.id.origin == this->context.ids.origin()) {
     this->gather.on_answer(answer, now);
   } else {
-    this->gather.on_foreign();
+    this->gather.on_foreign_answer();
   }
   this->restart_if_wanted(now);
   this->perform();
@@ -85,12 +85,12 @@
   this->timer.cancel();
 }
 
-void ActiveQuery::on_time() {
+void ActiveQuery::on_timer() {
   const TimePoint now = Clock::now();
   if (this->gather.finished() || now < this->gather.next_wake()) {
     return;
   }
-  this->gather.on_time(now);
+  this->gather.on_timer(now);
   this->restart_if_wanted(now);
   this->perform();
 }
@@ -99,7 +99,7 @@
   if (!this->gather.wants_restart(now)) {
     return;
   }
-  std::optional<Pin> newer = this->context.table.newer_pin(
+  std::optional<PinnedSnapshot> newer = this->context.table.newer_snapshot(
       this->request.service, this->gather.pin().snapshot->sequence);
   if (newer.has_value()) {
     const std::uint64_t first =
@@ -117,7 +117,7 @@
   if (calls.empty()) {
     return;
   }
-  const Pin& pin = this->gather.pin();
+  const PinnedSnapshot& pin = this->gather.pin();
   gateway::LeafCallBatch batch;
   batch.origin = this->context.ids.origin();
   batch.kind = gateway::LeafCallKind::kQuery;
--- a/ibismux/query/latency_quantile.cc
+++ b/ibismux/query/latency_quantile.cc
@@ -12,7 +12,7 @@
 using LogAxis =
     histograms::axis::regular<double, histograms::axis::transform::log>;
 
-/// Bins about 6% wide from a twentieth of a millisecond to a minute.
+/// Logarithmic bins, each about 6% wide, from 0.05 ms to one minute.
 constexpr double kLowestMs = 0.05;
 constexpr double kHighestMs = 60'000;
 constexpr unsigned kBins = 240;
@@ -33,15 +33,15 @@
 void LatencyQuantile::record(Duration latency) {
   const double ms = std::chrono::duration<double, std::milli>(latency).count();
   this->histogram->bins(std::clamp(ms, kLowestMs, kHighestMs * 0.99));
-  this->samples = std::min(this->samples + 1, kFewestSamples);
-  if (++this->since_halving == kSamplesPerHalving) {
-    this->since_halving = 0;
+  this->samples = std::min(this->samples + 1, kLeastSamples);
+  if (++this->samples_since_halving == kSamplesPerHalving) {
+    this->samples_since_halving = 0;
     this->histogram->bins *= 0.5;
   }
 }
 
 std::optional<Duration> LatencyQuantile::at(double quantile) const {
-  if (this->samples < kFewestSamples) {
+  if (this->samples < kLeastSamples) {
     return std::nullopt;
   }
   double total = 0;
--- a/ibismux/query/latency_quantile.h
+++ b/ibismux/query/latency_quantile.h
@@ -9,14 +9,14 @@
 
 namespace ibismux::query {
 
-/// A quantile of the recent latencies. Older ones lose half of their
-/// weight each time that `kSamplesPerHalving` new ones have come.
+/// Estimates quantiles of recent latencies. The weight of all samples is halved
+/// after every `kSamplesPerHalving` new ones.
 ///
 /// Not thread safe.
 class LatencyQuantile {
  public:
-  /// Until so many samples are in there is no quantile.
-  static constexpr std::uint32_t kFewestSamples = 30;
+  /// Number of samples below which no quantile is given.
+  static constexpr std::uint32_t kLeastSamples = 30;
   static constexpr std::uint32_t kSamplesPerHalving = 8192;
 
   LatencyQuantile();
@@ -32,7 +32,7 @@
   struct Histogram;
   std::unique_ptr<Histogram> histogram;
   std::uint32_t samples = 0;
-  std::uint32_t since_halving = 0;
+  std::uint32_t samples_since_halving = 0;
 };
 
 }  // namespace ibismux::query
--- a/ibismux/query/policy_table.cc
+++ b/ibismux/query/policy_table.cc
@@ -15,7 +15,7 @@
   return leaf.name < name;
 }
 
-/// What `old` holds of the leaf `name`, or something fresh.
+/// The statistics of the leaf `name` in `old`, or new ones if it has none.
 std::shared_ptr<LeafStats> carry_over(const PolicySet& old,
                                       const std::string& name) {
   const auto& leafs = old.release->leafs;
@@ -43,8 +43,9 @@
   return set->release == this->releases.read() ? set : this->rebuild();
 }
 
-std::optional<Pin> PolicyTable::newer_pin(const std::string& service,
-                                          std::uint64_t than) {
+std::optional<PinnedSnapshot> PolicyTable::newer_snapshot(
+    const std::string& service,
+    std::uint64_t after_sequence) {
   const std::shared_ptr<const PolicySet> set = this->current();
   const auto found = set->release->services.find(service);
   if (found == set->release->services.end() ||
@@ -52,10 +53,10 @@
     return std::nullopt;
   }
   const auto& newest = found->second->snapshots.front();
-  if (newest->sequence <= than) {
+  if (newest->sequence <= after_sequence) {
     return std::nullopt;
   }
-  return Pin{set->release, newest, set->leafs};
+  return PinnedSnapshot{set->release, newest, set->leafs};
 }
 
 std::shared_ptr<const PolicySet> PolicyTable::rebuild() {
--- a/ibismux/query/policy_table.h
+++ b/ibismux/query/policy_table.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "ibismux/base/rcu_cell.h"
-#include "ibismux/query/pin.h"
+#include "ibismux/query/pinned_snapshot.h"
 #include "ibismux/query/query_metrics.h"
 #include "ibismux/query/service_policy.h"
 #include "ibismux/release/forward.h"
@@ -19,23 +19,22 @@
 
 class LeafStats;
 
-/// What queries of one service share.
+/// State that all queries of one service share.
 struct ServiceState {
   ServicePolicy policy;
   std::unique_ptr<ServiceMetrics> metrics;
 };
 
-/// A release with what has been learnt of its leafs and services. Immutable but
+/// A release with the statistics of its leafs and services. Immutable except
 /// for the statistics themselves.
 struct PolicySet {
   std::shared_ptr<const release::Release> release;
-  /// At the same positions as the release's leafs.
+  /// In the same order as the release's leafs.
   std::shared_ptr<const std::vector<std::shared_ptr<LeafStats>>> leafs;
   std::map<std::string, std::shared_ptr<ServiceState>, std::less<>> services;
 };
 
-/// Carries what has been learnt of leafs and services from one release to the
-/// next, by their names.
+/// Keeps the statistics of leafs and services across releases, by their names.
 ///
 /// Thread safe.
 class PolicyTable {
@@ -43,13 +42,15 @@
   /// Both outlive the table.
   PolicyTable(const RcuCell<release::Release>& releases, QueryMetrics& metrics);
 
-  /// The newest release, with its statistics. Costs two reference counts unless
-  /// the release has changed.
+  /// The newest release with its statistics. Costs two reference count updates
+  /// unless the release has changed.
   [[nodiscard]] std::shared_ptr<const PolicySet> current();
 
-  /// The newest snapshot of `service`, if its sequence is above `than`.
-  [[nodiscard]] std::optional<Pin> newer_pin(const std::string& service,
-                                             std::uint64_t than);
+  /// The newest snapshot of `service` if its sequence is greater than
+  /// `after_sequence`.
+  [[nodiscard]] std::optional<PinnedSnapshot> newer_snapshot(
+      const std::string& service,
+      std::uint64_t after_sequence);
 
  private:
   std::shared_ptr<const PolicySet> rebuild();
@@ -57,7 +58,7 @@
   const RcuCell<release::Release>& releases;
   QueryMetrics& metrics;
   RcuCell<PolicySet> sets;
-  std::mutex mutex;  ///< Held by the one that rebuilds.
+  std::mutex mutex;  ///< Serializes `rebuild`.
 };
 
 }  // namespace ibismux::query
--- a/ibismux/query/query_engine.cc
+++ b/ibismux/query/query_engine.cc
@@ -15,16 +15,16 @@
 
 using std::chrono::milliseconds;
 
-/// The most retries that may be saved up, over all services.
+/// Capacity of the retry budget that all services share, in retries.
 constexpr double kRetryBurst = 100;
-/// Retries that the first queries after a start may use.
-constexpr double kFirstRetries = 10;
-/// When a caller should come back to a daemon that has no configuration.
-constexpr milliseconds kNotReadyRetry{1000};
+/// Retries available right after a start.
+constexpr double kInitialRetries = 10;
+/// `retry_after` while there is no configuration or no servable snapshot.
+constexpr milliseconds kNotReadyRetryAfter{1000};
 
 tl::unexpected<Error> not_ready(std::string message) {
   Error error = make_error(ErrorKind::kNotReady, std::move(message));
-  error.retry_after = kNotReadyRetry;
+  error.retry_after = kNotReadyRetryAfter;
   return tl::unexpected<Error>(std::move(error));
 }
 
@@ -40,7 +40,7 @@
         ids(origin),
         metrics(metrics),
         table(releases, this->metrics),
-        retries(kRetryBurst, kFirstRetries) {}
+        retries(kRetryBurst, kInitialRetries) {}
 
   Task<Result<QueryAnswer>> run(QueryRequest request,
                                 std::shared_ptr<http::CancelToken> cancel);
@@ -77,8 +77,9 @@
                    this->retries},
       std::move(request), set->services.find(service.spec.name)->second, plan,
       executor);
-  query->start(Pin{set->release, service.snapshots.front(), set->leafs},
-               service.spec.priority, cancel);
+  query->start(
+      PinnedSnapshot{set->release, service.snapshots.front(), set->leafs},
+      service.spec.priority, cancel);
   Result<QueryAnswer> result = co_await ActiveQuery::finish(query);
   this->metrics.retry_tokens(this->retries.tokens());
   co_return result;
--- a/ibismux/query/replica_choice.cc
+++ b/ibismux/query/replica_choice.cc
@@ -6,23 +6,23 @@
 
 namespace {
 
-constexpr unsigned kHalfOfRandom = 32;
+constexpr unsigned kHighBitsShift = 32;
 
 }  // namespace
 
-std::uint32_t RandomReplica::choose(const Pin& /*pin*/,
+std::uint32_t RandomReplica::choose(const PinnedSnapshot& /*pin*/,
                                     std::span<const std::uint32_t> candidates,
                                     std::uint64_t random,
                                     TimePoint /*now*/) const {
   return candidates[random % candidates.size()];
 }
 
-std::uint32_t CheaperOfTwo::choose(const Pin& pin,
+std::uint32_t CheaperOfTwo::choose(const PinnedSnapshot& pin,
                                    std::span<const std::uint32_t> candidates,
                                    std::uint64_t random,
                                    TimePoint now) const {
   const std::size_t count = candidates.size();
-  const std::size_t first = (random >> kHalfOfRandom) % count;
+  const std::size_t first = (random >> kHighBitsShift) % count;
   if (count == 1) {
     return candidates[first];
   }
--- a/tests/query/engine_test.cc
+++ b/tests/query/engine_test.cc
@@ -15,8 +15,8 @@
 
 namespace asio = boost::asio;
 
-/// Answers each call at once with one hit, but for those of `silent` shards,
-/// which it answers when they are cancelled.
+/// Answers each call at once with one hit, except calls to the shard `silent`,
+/// which get no answer. Counts cancelled calls.
 class FakeLeafs final : public gateway::LeafCaller {
  public:
   void call(gateway::LeafCallBatch batch,
@@ -114,7 +114,7 @@
   cr_assert(answer->coverage.total == 2);
 }
 
-Test(query_engine, a_caller_that_goes_cancels_the_calls_at_once) {
+Test(query_engine, a_cancelled_query_cancels_its_calls_at_once) {
   EngineFixture fixture;
   fixture.leafs.silent = "s1";
   const Result<QueryAnswer> answer = fixture.ask("catalogue", true);
--- a/tests/query/gather_test.cc
+++ b/tests/query/gather_test.cc
@@ -7,7 +7,7 @@
 namespace ibismux::query {
 namespace {
 
-Pin usual_pin(std::uint32_t shards, std::uint32_t replicas) {
+PinnedSnapshot usual_pin(std::uint32_t shards, std::uint32_t replicas) {
   return pin_of(release_of(1, snapshot_of("n1", 1, shards, replicas)));
 }
 
@@ -19,7 +19,8 @@
   Gather gather(
       {DeadlinePolicy(GatherFixture::at(1000), std::nullopt, 1.0), 10, seed},
       {replicas, service, retries});
-  gather.start(usual_pin(64, 3), GatherFixture::kFirst, GatherFixture::at(0));
+  gather.start(usual_pin(64, 3), GatherFixture::kFirstSequence,
+               GatherFixture::at(0));
   std::vector<std::uint32_t> leafs;
   for (const GatherCall& call : gather.take_starts()) {
     leafs.push_back(call.leaf);
@@ -27,13 +28,14 @@
   return leafs;
 }
 
-// Failure: some leafs get four calls at once while others idle.
-Test(gather, queries_in_a_row_choose_replicas_apart) {
+// Guards against replica choices that repeat from query to query, so that some
+// leafs get four calls at once while others are idle.
+Test(gather, different_seeds_choose_different_replicas) {
   cr_assert(first_leafs(8) != first_leafs(9));
   cr_assert(first_leafs(8) == first_leafs(8));
 }
 
-Test(gather, the_whole_answer_names_every_shard) {
+Test(gather, a_full_answer_names_every_shard) {
   GatherFixture query(usual_pin(3, 1));
   cr_assert(query.started.size() == 3);
   for (const GatherCall& call : query.started) {
@@ -55,7 +57,7 @@
   query.answer_hit(query.started[0], 5);
   query.answer_hit(query.started[2], 6);
   cr_assert(query.gather.next_wake() == query.at(100));
-  query.gather.on_time(query.at(100));
+  query.gather.on_timer(query.at(100));
   cr_assert(query.gather.finished());
   const Result<QueryAnswer> answer = query.gather.take_result();
   cr_assert(answer->coverage.contributed.size() == 2);
@@ -65,10 +67,10 @@
   cr_assert(query.gather.take_cancels().size() == 1);
 }
 
-Test(gather, after_answer_by_the_answer_goes_once_it_covers_enough) {
+Test(gather, after_answer_by_it_answers_once_coverage_is_sufficient) {
   GatherFixture query(usual_pin(3, 1), 0.6, milliseconds(100));
   query.answer_hit(query.started[0], 5);
-  query.gather.on_time(query.at(100));
+  query.gather.on_timer(query.at(100));
   cr_assert(!query.gather.finished());
   query.answer_hit(query.started[1], 150);
   cr_assert(query.gather.finished());
@@ -79,25 +81,26 @@
   query.answer_hit(query.started[0], 5);
   query.answer_hit(query.started[1], 5);
   cr_assert(query.gather.next_wake() == query.at(1000));
-  query.gather.on_time(query.at(1000));
+  query.gather.on_timer(query.at(1000));
   cr_assert(query.gather.take_result()->coverage.contributed.size() == 2);
 }
 
 Test(gather, too_little_coverage_at_the_deadline_is_an_error) {
   GatherFixture query(usual_pin(3, 1));
   query.answer_hit(query.started[0], 5);
-  query.gather.on_time(query.at(1000));
+  query.gather.on_timer(query.at(1000));
   const Result<QueryAnswer> answer = query.gather.take_result();
   cr_assert(answer.error().kind == ErrorKind::kDeadlineExceeded);
   cr_assert(answer.error().execution == Execution::kUnknown);
   cr_assert(answer.error().retry_after.has_value());
 }
 
-// Failure: a hit of another query, or the same hit twice, in an answer.
+// Guards against an answer with a hit of another query or with the same hit
+// twice.
 Test(gather, foreign_duplicate_and_late_answers_are_dropped) {
   GatherFixture query(usual_pin(2, 1));
-  query.answer(GatherFixture::kFirst - 1, body_of("foreign", 9), 1);
-  query.answer(GatherFixture::kFirst + 50, body_of("foreign", 9), 1);
+  query.answer(GatherFixture::kFirstSequence - 1, body_of("foreign", 9), 1);
+  query.answer(GatherFixture::kFirstSequence + 50, body_of("foreign", 9), 1);
   query.answer_hit(query.started[0], 2);
   query.answer(query.started[0].sequence, body_of("again", 9), 3);
   cr_assert(!query.gather.finished());
@@ -109,14 +112,14 @@
   cr_assert(query.gather.counts().late == 1);
 }
 
-// Failure: coverage names a shard none of whose hits were merged.
+// Guards against coverage that lists a shard whose hits were not merged.
 Test(gather, a_malformed_answer_does_not_contribute) {
   GatherFixture query(usual_pin(2, 1), 0.5);
   query.answer_hit(query.started[0], 2);
   for (std::uint32_t i = 0; i < Gather::kMostAttempts; ++i) {
     const GatherCall call = i == 0 ? query.started[1] : query.started[0];
     query.answer(call.sequence, R"({"hits":[{"id":"x")", 3);
-    query.gather.on_time(query.at(200 * (i + 1)));
+    query.gather.on_timer(query.at(200 * (i + 1)));
     query.started = query.gather.take_starts();
     if (query.started.empty()) {
       break;
@@ -128,11 +131,11 @@
   cr_assert(answer->coverage.missing[0].reason == ErrorKind::kProtocolError);
 }
 
-Test(gather, a_straggler_is_hedged_and_the_loser_cancelled) {
+Test(gather, a_slow_call_is_hedged_and_cancelled_once_the_hedge_answers) {
   GatherFixture query(usual_pin(2, 2));
   query.learn_delay(milliseconds(20));
   query.answer_hit(query.started[0], 2);
-  query.gather.on_time(query.at(40));
+  query.gather.on_timer(query.at(40));
   const std::vector<GatherCall> hedges = query.gather.take_starts();
   cr_assert(hedges.size() == 1);
   cr_assert(hedges[0].shard == query.started[1].shard);
@@ -145,18 +148,19 @@
   cr_assert(query.gather.take_result()->hedges == 1);
 }
 
-// Failure: a query waits for two stragglers of one shard.
-Test(gather, a_hedge_that_straggles_too_is_followed_by_a_last_one) {
+// Guards against a query that waits for a slow call and a slow hedge of the
+// same shard.
+Test(gather, a_slow_hedge_is_followed_by_a_second_and_last_one) {
   GatherFixture query(usual_pin(1, 2));
   query.learn_delay(milliseconds(20));
-  query.gather.on_time(query.at(25));
+  query.gather.on_timer(query.at(25));
   cr_assert(query.gather.take_starts().size() == 1);
-  query.gather.on_time(query.at(50));
+  query.gather.on_timer(query.at(50));
   cr_assert(query.gather.take_starts().empty());
-  query.gather.on_time(query.at(70));
+  query.gather.on_timer(query.at(70));
   const std::vector<GatherCall> last = query.gather.take_starts();
   cr_assert(last.size() == 1);
-  query.gather.on_time(query.at(500));
+  query.gather.on_timer(query.at(500));
   cr_assert(query.gather.take_starts().empty());
   query.answer_hit(last[0], 501);
   cr_assert(query.gather.take_cancels().size() == 2);
@@ -168,10 +172,10 @@
   query.learn_delay(milliseconds(20));
   while (query.service.take_hedge()) {
   }
-  query.gather.on_time(query.at(25));
+  query.gather.on_timer(query.at(25));
   cr_assert(query.gather.take_starts().empty());
   query.service.calls_started(1000);
-  query.gather.on_time(query.gather.next_wake());
+  query.gather.on_timer(query.gather.next_wake());
   cr_assert(query.gather.take_starts().size() == 1);
 }
 
@@ -185,7 +189,7 @@
   cr_assert(query.gather.take_result()->retries == 1);
 }
 
-Test(gather, with_an_empty_budget_a_refusal_is_final_and_said_at_once) {
+Test(gather, with_an_empty_retry_budget_a_refusal_fails_at_once) {
   GatherFixture query(usual_pin(1, 2));
   while (query.retries.take()) {
   }
@@ -194,7 +198,7 @@
   const Result<QueryAnswer> answer = query.gather.take_result();
   cr_assert(answer.error().kind == ErrorKind::kOverloaded);
   cr_assert(answer.error().execution == Execution::kNotRun);
-  cr_assert(query.gather.counts().budget_empty == 1);
+  cr_assert(query.gather.counts().retries_refused == 1);
 }
 
 Test(gather, a_leaving_leaf_gets_no_call) {
@@ -208,7 +212,7 @@
   }
 }
 
-Test(gather, a_caller_that_goes_has_its_calls_cancelled) {
+Test(gather, a_cancelled_query_cancels_its_calls) {
   GatherFixture query(usual_pin(3, 1));
   query.answer_hit(query.started[0], 1);
   query.gather.on_cancel(query.at(2));
--- a/tests/query/query_fixture.h
+++ b/tests/query/query_fixture.h
@@ -16,8 +16,8 @@
 
 using std::chrono::milliseconds;
 
-/// A snapshot `name` of `shards` shards s0, s1, ... with `replicas` leafs each;
-/// the leafs are a0, a1, ... in order of shards.
+/// A snapshot `name` with `shards` shards s0, s1, ... and `replicas` leafs per
+/// shard. The leafs are a0, a1, ..., in the order of the shards.
 inline std::shared_ptr<release::SnapshotView> snapshot_of(
     const std::string& name,
     std::uint64_t sequence,
@@ -56,24 +56,25 @@
   return release;
 }
 
-inline Pin pin_of(std::shared_ptr<release::Release> release) {
+inline PinnedSnapshot pin_of(std::shared_ptr<release::Release> release) {
   auto leafs = std::make_shared<std::vector<std::shared_ptr<LeafStats>>>();
   for (std::size_t i = 0; i < release->leafs.size(); ++i) {
     leafs->push_back(std::make_shared<LeafStats>());
   }
   auto snapshot = release->services.begin()->second->snapshots.front();
-  return Pin{std::move(release), std::move(snapshot), std::move(leafs)};
+  return PinnedSnapshot{std::move(release), std::move(snapshot),
+                        std::move(leafs)};
 }
 
-/// A leaf's answer body with one hit.
+/// The body of a leaf's answer with one hit.
 inline std::string body_of(const std::string& id, double score) {
   return R"({"hits":[{"id":")" + id + R"(","score":)" + std::to_string(score) +
          R"(,"text":"t"}]})";
 }
 
-/// A `Gather` with policies of its own, and its time.
+/// A started `Gather` with its own policies and a simulated clock.
 struct GatherFixture {
-  explicit GatherFixture(Pin pin,
+  explicit GatherFixture(PinnedSnapshot pin,
                          double min_coverage = 1.0,
                          std::optional<milliseconds> answer_by = std::nullopt)
       : gather(GatherPlan{DeadlinePolicy(
@@ -86,7 +87,7 @@
                GatherPolicies{this->replicas, this->service, this->retries}) {
     this->service.calls_started(1000);
     this->retries.deposit(1000, 0.1);
-    this->gather.start(std::move(pin), kFirst, this->at(0));
+    this->gather.start(std::move(pin), kFirstSequence, this->at(0));
     this->started = this->gather.take_starts();
   }
 
@@ -108,7 +109,7 @@
     this->answer(call.sequence, fail(kind, "refused"), ms);
   }
 
-  /// Lets the hedge delay settle at about `delay`.
+  /// Reports answers until the hedge delay is about `delay`.
   void learn_delay(milliseconds delay) {
     for (int i = 0; i < 256; ++i) {
       this->service.call_answered(delay, Duration::zero());
@@ -116,7 +117,7 @@
   }
 
   static constexpr std::uint64_t kOrigin = 5;
-  static constexpr std::uint64_t kFirst = 1000;
+  static constexpr std::uint64_t kFirstSequence = 1000;
 
   CheaperOfTwo replicas;
   ServicePolicy service{0.95, 0.05};
