--- a/ibismux/relay/in_force_board.h
+++ b/ibismux/relay/in_force_board.h
@@ -14,11 +14,11 @@
 
 namespace ibismux::relay {
 
-/// What the zones last said is in force, and whether anybody wants to know.
-/// Thread safe.
+/// Caches the tallies that each availability zone last reported, and when they
+/// were last read. Thread safe.
 class InForceBoard {
  public:
-  /// Notes that somebody asks. @return The sum over all zones.
+  /// Records the time of the read. @return The sum over all zones.
   [[nodiscard]] Tallies read(TimePoint now) {
     std::lock_guard lock(this->mutex);
     this->asked = now;
@@ -29,19 +29,19 @@
     return sum;
   }
 
-  /// Whether somebody asked lately.
+  /// Whether `read()` was called within the last `kPollAfterRead`.
   [[nodiscard]] bool wanted(TimePoint now) {
     std::lock_guard lock(this->mutex);
     return now - this->asked < kInterest;
   }
 
-  /// Replaces what `root`, the first member of a zone, said.
+  /// Replaces the tallies reported by `root`, the first member of a zone.
   void put(const std::string& root, Tallies tallies) {
     std::lock_guard lock(this->mutex);
     this->zones[root] = std::move(tallies);
   }
 
-  /// Forgets members that are no longer the first of a zone.
+  /// Removes the tallies of all members that are not among `roots`.
   void keep(const std::vector<std::string>& roots) {
     std::lock_guard lock(this->mutex);
     std::erase_if(this->zones, [&roots](const auto& entry) {
--- a/ibismux/relay/messages.cc
+++ b/ibismux/relay/messages.cc
@@ -10,7 +10,7 @@
 namespace {
 
 Duration from_millis(std::int64_t millis) {
-  // Bounded, so that a wrong value can't overflow the clock's type.
+  // The bound keeps an invalid value from overflowing the clock's type.
   constexpr std::int64_t kMost = 24LL * 60 * 60 * 1000;
   return std::chrono::milliseconds(millis < 0 || millis > kMost ? kMost
                                                                 : millis);
--- a/ibismux/relay/messages.h
+++ b/ibismux/relay/messages.h
@@ -12,14 +12,15 @@
 
 namespace ibismux::relay {
 
-/// "This is in force here."
+/// Announces the release in force at the sender.
 struct PushMessage {
   Generation generation = 0;
-  std::string head;  ///< Empty where it is long.
-  Duration age{};    ///< Of what the sender knows of the platform.
+  std::string head;  ///< Encoded; empty if it is too long to push.
+  Duration age{};    ///< Age of the sender's knowledge of the platform.
 };
 
-/// "What is newer than `have`?" or, with names, "what is in these chunks?"
+/// Requests the release newer than `have` or, if `chunks` is not empty, the
+/// contents of the chunks with these names.
 struct FetchRequest {
   Generation have = 0;
   std::vector<std::string> chunks;
@@ -27,19 +28,20 @@
 
 struct FetchAnswer {
   Generation generation = 0;
-  std::string head;  ///< Empty: nothing newer.
+  std::string head;  ///< Empty if there is no newer release.
   std::map<std::string, std::string> chunks;
   Duration age{};
 };
 
-/// A subtree's tallies for its parent, or a question for those of the zone.
+/// Reports a subtree's tallies to its parent or, if `question` is set, asks the
+/// first member of a zone for the tallies of the zone.
 struct InForceReport {
   bool question = false;
   Tallies tallies;
 };
 
-/// @name Thrift forms, as thrift/relay.thrift gives them; thread safe. Reading
-/// gives kProtocolError for bytes that are no such message.
+/// @name Thrift encoding as defined in thrift/relay.thrift. Thread safe.
+/// Decoding returns kProtocolError if the bytes are not a valid message.
 /// @{
 [[nodiscard]] std::string encode(const PushMessage& message);
 [[nodiscard]] std::string encode(const FetchRequest& request);
--- a/ibismux/relay/relay_engine.cc
+++ b/ibismux/relay/relay_engine.cc
@@ -8,10 +8,11 @@
 
 namespace {
 
-/// The links along which generations are compared are those of membership,
-/// whose connections are open anyway.
+/// Generations are compared along the links of the membership overlay, whose
+/// connections are open already.
 constexpr std::size_t kRings = 2;
-/// Pauses vary between these parts of their length.
+/// An interval is multiplied by a random factor between kMinJitterFactor and
+/// kMinJitterFactor + kJitterRange.
 constexpr double kLeastJitter = 0.75;
 constexpr double kJitterSpan = 0.5;
 
@@ -56,7 +57,7 @@
            children.end();
   });
   if (this->current == 0) {
-    this->next_compare = now;  // A peer that was just met may have a release.
+    this->next_compare = now;  // A new peer may have a release.
   }
 }
 
@@ -70,8 +71,8 @@
   if (origin != Origin::kPeer) {
     this->confirmed = now;
   }
-  // The watchers of other zones hear of it from the platform, but later than
-  // from the daemon that has just published it.
+  // The watchers of other zones also get the release from the platform, but
+  // later than from the daemon that has just published it.
   auto& pushes = this->commands.pushes;
   pushes.clear();
   if (origin == Origin::kPublishedHere) {
@@ -135,7 +136,7 @@
 }
 
 void RelayEngine::note_age(Duration age, TimePoint now) {
-  // A peer's clock plays no part: it says how long ago, not when.
+  // An age instead of a time avoids any dependence on the peer's clock.
   this->confirmed =
       std::max(this->confirmed, now - std::max(age, Duration::zero()));
 }
@@ -145,9 +146,9 @@
   this->commands.fetch = from;
 }
 
-/// Compares generations with the parent and with peers anywhere in turn: the
-/// former is where a push was to come from, the latter find what is missing
-/// when a whole zone was passed over.
+/// Compares generations alternately with the parent and with overlay neighbors
+/// in any zone. The parent has the release if only its push was lost; neighbors
+/// in other zones have it if a whole zone missed the push.
 void RelayEngine::compare(TimePoint now) {
   const bool lacking = this->current == 0;
   this->next_compare =
@@ -169,8 +170,9 @@
 void RelayEngine::help_self(TimePoint now) {
   Duration patience = this->settings.self_help_after;
   if (this->current == 0) {
-    // In a cold start of the whole fleet the watchers read; the others would
-    // all do so in the same second, and the platform would refuse most.
+    // In a cold start of the whole fleet the watchers read first. The other
+    // daemons spread their reads; otherwise all would read in the same second
+    // and the platform would refuse most of them.
     patience = this->settings.first_read_watcher;
     if (!this->place.watches()) {
       const Duration spread =
--- a/ibismux/relay/relay_engine.h
+++ b/ibismux/relay/relay_engine.h
@@ -17,22 +17,24 @@
 
 namespace ibismux::relay {
 
-/// Where a release came from.
+/// Where a daemon obtained a release.
 enum class Origin : unsigned char { kPublishedHere, kPlatform, kPeer };
 
-/// What the engine wants done.
+/// Actions that the engine requests from its owner.
 struct RelayCommands {
-  std::vector<std::string> pushes;   ///< Tell these of the release in force.
-  std::optional<std::string> fetch;  ///< Ask this peer for what is newer.
-  bool read_platform = false;        ///< Read the head there, once.
-  std::optional<std::string> report_to;  ///< Send `subtree()` there.
+  std::vector<std::string> pushes;   ///< Push the release in force to these.
+  std::optional<std::string> fetch;  ///< Ask this peer for a newer release.
+  bool read_platform = false;        ///< Read the platform's head once.
+  std::optional<std::string> report_to;  ///< Send `subtree()` to this peer.
 };
 
-/// All decisions of the spread of releases, without sockets, clocks or a random
-/// source of its own. Knows generations only; contents are the store's.
+/// Makes all decisions of the distribution of releases. It uses no sockets and
+/// no clock, and its random numbers depend on the seed alone. It handles
+/// generations only; the release store holds the contents.
 ///
-/// Of fetches and reads there is one at a time each, and each gets exactly one
-/// result. Not thread safe. docs/design/spread.md gives the reasons.
+/// At most one fetch and one read of the platform run at a time. The caller
+/// must report exactly one result for each. Not thread safe. See
+/// docs/design/spread.md for the rationale.
 class RelayEngine {
  public:
   RelayEngine(RelaySettings settings, std::uint64_t seed, TimePoint now);
@@ -41,16 +43,17 @@
   /// @{
   void tick(TimePoint now);
   void on_view(const membership::MembershipView& view, TimePoint now);
-  /// A release came into force here.
+  /// A release was put in force on this daemon.
   void on_applied(Generation generation, Origin origin, TimePoint now);
-  /// A peer says that it has `generation`, and how old its knowledge of the
-  /// platform is.
+  /// A peer announced that it has `generation`.
+  /// @param age The age of the peer's knowledge of the platform.
   void on_push(const std::string& from,
                Generation generation,
                Duration age,
                TimePoint now);
-  /// The result of a fetch: how old the peer's knowledge is; nothing if it
-  /// failed.
+  /// A fetch ended.
+  /// @param age The age of the peer's knowledge of the platform; nullopt if the
+  /// fetch failed.
   void on_fetched(std::optional<Duration> age, TimePoint now);
   /// The platform answered a watch or a read with its newest head.
   void on_platform_seen(TimePoint now);
@@ -64,11 +67,12 @@
   [[nodiscard]] const membership::SpreadTree& tree() const noexcept {
     return this->place;
   }
-  /// How old this daemon's knowledge of the platform is.
+  /// The age of this daemon's knowledge of the platform.
   [[nodiscard]] Duration age(TimePoint now) const noexcept {
     return now - this->confirmed;
   }
-  /// What is in force in the subtree of this daemon.
+  /// How many daemons of this daemon's subtree, itself included, have which
+  /// generation in force.
   [[nodiscard]] Tallies subtree() const;
   [[nodiscard]] Generation generation() const noexcept { return this->current; }
   /// @}
@@ -96,15 +100,15 @@
   Generation current = 0;
   bool fetching = false;
   bool reading = false;
-  // A newer release that a peer offered while a fetch was under way.
+  // A newer release that a peer announced while a fetch was running.
   std::string offered_by;
   Generation offered = 0;
 
   std::size_t turn = 0;
   std::size_t fleet = 1;
-  double start_share;  // In [0, 1): this daemon's place in a cold start.
+  double start_share;  // In [0, 1): part of the spread of cold-start reads.
   TimePoint started;
-  TimePoint confirmed;  // Since when the platform may have something newer.
+  TimePoint confirmed;  // The platform may have a newer release since then.
   TimePoint next_compare;
   TimePoint next_read;
 
--- a/ibismux/relay/relay_metrics.h
+++ b/ibismux/relay/relay_metrics.h
@@ -11,9 +11,9 @@
 
 namespace ibismux::relay {
 
-/// Counts of the spread of releases. Thread safe.
+/// Metrics of the distribution of releases. Thread safe.
 struct RelayMetrics {
-  /// Precondition: `registry` outlives this.
+  /// Precondition: `registry` outlives this object.
   explicit RelayMetrics(prometheus::Registry& registry);
 
   prometheus::Gauge* generation;
--- a/ibismux/relay/relay_service.h
+++ b/ibismux/relay/relay_service.h
@@ -33,21 +33,21 @@
 
 namespace ibismux::relay {
 
-/// On how many daemons a generation is in force, of how many.
+/// On how many daemons of the fleet a generation is in force.
 struct InForceCount {
-  std::size_t reached = 0;
-  std::size_t members = 0;
+  std::size_t reached = 0;  ///< Daemons that have it or a higher one in force.
+  std::size_t members = 0;  ///< Daemons of the fleet.
 };
 
-/// Brings releases from the platform and from peers into this daemon's store,
-/// passes them on, and knows how far they have come in the fleet.
+/// Fetches releases from the platform and from peers into this daemon's store,
+/// pushes them to peers, and counts the daemons that have them in force.
 ///
 /// Its work runs on the first loop of the pool.
 class RelayService {
  public:
   /// Registers the network's handlers. Precondition: the network has not
-  /// started; all references outlive this and the pool's threads.
-  /// @param work Where releases are put in force.
+  /// started; all references outlive this object and the pool's threads.
+  /// @param work The loop on which releases are put in force.
   RelayService(RelaySettings settings,
                IoPool& pool,
                peer::PeerNetwork& network,
@@ -60,23 +60,23 @@
 
   /// Call once, after the network has started.
   void start();
-  /// Ends all activity. Thread safe; idempotent.
+  /// Stops all activity. Thread safe; idempotent.
   void stop();
 
-  /// To be called from the store's listener: `generation` is in force here.
-  /// Thread safe.
+  /// Must be called from the store's listener when `generation` has been put in
+  /// force on this daemon. Thread safe.
   void applied(Generation generation);
 
-  /// On how many daemons `generation` or a higher one is in force, as of the
-  /// last answers of the zones; asking makes them be asked again, for a while.
-  /// Thread safe; does not block.
+  /// On how many daemons `generation` or a higher one is in force, according to
+  /// the last answers of the zones. Each call makes the service poll the zones
+  /// for the next few seconds. Thread safe; does not block.
   [[nodiscard]] InForceCount in_force(Generation generation) const;
 
   /// This daemon's position in an order of the whole fleet, from 0. Thread
   /// safe.
   [[nodiscard]] std::size_t rank() const noexcept;
 
-  /// For the status page. Thread safe.
+  /// The section of the status page about releases. Thread safe.
   [[nodiscard]] boost::json::value status() const;
 
  private:
--- a/ibismux/relay/relay_service_impl.cc
+++ b/ibismux/relay/relay_service_impl.cc
@@ -22,7 +22,7 @@
 using peer::MessageKind;
 
 constexpr auto kAwait = boost::asio::as_tuple(boost::asio::use_awaitable);
-/// A head longer than this is announced and not sent: many peers have it.
+/// A push leaves out a longer head, since many peers already have it.
 constexpr std::size_t kMostPushedHead = 2048;
 
 }  // namespace
@@ -181,7 +181,8 @@
 Task<void> RelayService::Impl::take_push(Self self,
                                          std::string peer,
                                          PushMessage push) {
-  // With the head at hand one round trip for the chunks is enough, or none.
+  // A push that contains the head saves a round trip: only missing chunks, if
+  // any, must be fetched.
   if (!push.head.empty() && push.generation > self->releases.generation()) {
     std::string source = peer;
     const auto taken = co_await self->fetcher.take_from_peer(
@@ -191,8 +192,8 @@
     }
   }
   if (!self->stopped) {
-    // The store may be ahead of the engine, whose own notice of the release is
-    // posted; then this asks for nothing.
+    // The store may be ahead of the engine, because `applied()` posts the
+    // notification. Generation 0 then keeps the engine from fetching.
     const Generation beyond =
         push.generation > self->releases.generation() ? push.generation : 0;
     self->engine.on_push(peer, beyond, push.age, Clock::now());
@@ -241,7 +242,7 @@
   std::string payload = encode(report);
   const auto answer = co_await self->network.request(
       std::move(parent), MessageKind::kInForce, std::move(payload), deadline);
-  static_cast<void>(answer);  // Reports are repeated.
+  static_cast<void>(answer);  // A lost report is covered by the next one.
 }
 
 Task<void> RelayService::Impl::ask_zones(Self self) {
--- a/ibismux/relay/relay_service_impl.h
+++ b/ibismux/relay/relay_service_impl.h
@@ -23,8 +23,8 @@
 
 namespace ibismux::relay {
 
-/// All state but the board, the rank and the age belongs to the pool's
-/// first loop.
+/// All state except `board`, `rank`, `age_ms` and members that are thread safe
+/// themselves must be used only on the pool's first loop.
 class RelayService::Impl
     : public std::enable_shared_from_this<RelayService::Impl> {
  public:
--- a/ibismux/relay/relay_settings.h
+++ b/ibismux/relay/relay_settings.h
@@ -6,31 +6,37 @@
 
 namespace ibismux::relay {
 
-/// The pace of the spread of releases. docs/design/spread.md weighs it.
+/// Settings of the distribution of releases. See docs/design/spread.md for the
+/// trade-offs.
 struct RelaySettings {
   std::chrono::milliseconds tick{50};
-  std::size_t watchers = 2;  ///< Of the platform, in each availability zone.
-  std::size_t fan_out = 8;   ///< Children of a daemon in its zone's tree.
+  std::size_t watchers = 2;  ///< Daemons of each availability zone that watch
+                             ///< the platform.
+  std::size_t fan_out =
+      8;  ///< Maximum children of a daemon in its zone's tree.
 
-  /// How often generations are compared with a peer, and how often while this
-  /// daemon has no release.
+  /// Interval between comparisons of generations with a peer; the second one
+  /// applies while this daemon has no release.
   std::chrono::milliseconds compare_interval{3000};
   std::chrono::milliseconds first_compare_interval{300};
 
-  /// Knowledge of the platform older than this is refreshed there.
+  /// If this daemon's knowledge of the platform is older than this, it reads
+  /// the head from the platform itself.
   std::chrono::milliseconds self_help_after{30000};
-  /// At the start: how long a watcher, and another daemon, leaves it to peers
-  /// to have a release; the latter also waits a random time that grows with
-  /// the fleet.
+  /// After its start, a daemon without a release waits this long for peers
+  /// before it reads the platform. Daemons that are not watchers also wait a
+  /// random time of up to `first_read_per_member` times the fleet's size.
   std::chrono::milliseconds first_read_watcher{200};
   std::chrono::milliseconds first_read_other{2000};
   std::chrono::milliseconds first_read_per_member{5};
-  /// Reads of the platform for self-help: one at once, then one in this time.
+  /// Minimum interval between such reads of the platform, before jitter. The
+  /// first read is not delayed by it.
   std::chrono::milliseconds read_refill{10000};
 
-  std::chrono::milliseconds report_interval{10000};  ///< With nothing changed.
+  std::chrono::milliseconds report_interval{10000};  ///< If nothing changed.
   std::chrono::milliseconds report_expiry{30000};
-  /// How often the zones are asked while somebody waits for a generation.
+  /// Interval between polls of the zones while a caller waits for a generation
+  /// to be in force.
   std::chrono::milliseconds ask_interval{100};
 
   std::chrono::milliseconds request_timeout{2000};
--- a/ibismux/relay/release_fetcher.cc
+++ b/ibismux/relay/release_fetcher.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// What one answer holds at most, so that several chunks near a megabyte don't
-/// meet the limit of a frame.
+/// Maximum size of one answer, so that several chunks of almost a megabyte
+/// don't exceed the frame size limit.
 constexpr std::size_t kMostAnswerBytes = 2 * 1024 * 1024;
 
 thread_local Origin offered_from = Origin::kPublishedHere;
@@ -81,7 +81,7 @@
       parts.push_back(std::move(contents));
     }
     if (wanted.size() == before) {
-      // It has gone on to a newer release, and will tell.
+      // The peer now has a newer release, which it will announce by a push.
       co_return fail(ErrorKind::kNotFound, peer + " lacks " + wanted.front());
     }
   }
@@ -142,7 +142,7 @@
                                                       store::WatchBatch batch) {
   const auto decoded = release::decode_head(head);
   if (decoded && decoded->generation <= this->releases.generation()) {
-    co_return false;  // An old event: nothing is read for it.
+    co_return false;  // No reads for an outdated event.
   }
   KnownParts known;
   for (auto& event : batch.events) {
--- a/ibismux/relay/release_fetcher.h
+++ b/ibismux/relay/release_fetcher.h
@@ -29,13 +29,13 @@
 
 namespace ibismux::relay {
 
-/// Brings a head's missing chunks together and offers the release to the
-/// store, which takes only what is newer and whole.
+/// Fetches the missing chunks of a release and offers the release to the store,
+/// which accepts only complete releases newer than the one in force.
 ///
 /// Thread safe; must outlive its tasks.
 class ReleaseFetcher {
  public:
-  /// @param work Where releases are put in force.
+  /// @param work The loop on which releases are put in force.
   ReleaseFetcher(const RelaySettings& settings,
                  peer::PeerNetwork& network,
                  store::ObjectStore& platform,
@@ -47,55 +47,61 @@
         releases(releases),
         work(work) {}
 
-  /// Asks `peer` for what is newer and takes it. @return How old the peer's
-  /// knowledge of the platform is.
+  /// Asks `peer` for a newer release and applies it. @return The age of the
+  /// peer's knowledge of the platform.
   [[nodiscard]] Task<Result<Duration>> from_peer(std::string peer);
 
-  /// Takes the release of `head`, with the chunks it lacks from `peer`.
-  /// @param fetched Chunks that came with the head.
+  /// Applies the release of `head` after fetching missing chunks from `peer`.
+  /// @param fetched Chunks that were received with the head.
+  /// @return Whether the release is now in force.
   [[nodiscard]] Task<Result<bool>> take_from_peer(
       std::string peer,
       std::string head,
       std::vector<std::string> fetched = {});
 
-  /// Reads the head in the platform and takes it. @return Its version there; 0
-  /// if there is none.
+  /// Reads the head from the platform and applies its release. @return The
+  /// head's version in the platform; 0 if there is none.
   [[nodiscard]] Task<Result<store::Version>> from_platform();
 
-  /// Takes the release of `head`, with chunks from `batch` where it has them,
-  /// else from the platform.
+  /// Applies the release of `head`. Missing chunks that `batch` doesn't contain
+  /// are read from the platform.
+  /// @return Whether the release is now in force.
   [[nodiscard]] Task<Result<bool>> take_from_platform(std::string head,
                                                       store::WatchBatch batch);
 
-  /// The answer to a peer's request. With a head, and with an index chunk, goes
-  /// what is under it that the peer can't have: else each level of a release
-  /// would cost a round trip on each level of the tree.
+  /// The answer to a peer's request. A head or an index chunk is accompanied by
+  /// the parts under it that were written after the peer's generation.
+  /// Otherwise each level of a release would need another round trip on each
+  /// level of the tree.
   [[nodiscard]] FetchAnswer answer(const FetchRequest& request,
                                    Duration age) const;
 
-  /// Where the release comes from that this thread is offering to the store.
-  /// The store's listener is called with the generation alone.
+  /// The origin of the release that this thread is offering to the store. The
+  /// store's listener needs it, because it gets only the generation.
   [[nodiscard]] static Origin offering() noexcept;
 
  private:
-  /// What the events of a watch showed, by name.
+  /// The parts contained in the events of a watch, by name.
   using KnownParts = std::map<std::string, std::string>;
 
-  /// Offers the release to the store, on the work loop. Of several at a time
-  /// the store takes one after another, and none that is not newer.
+  /// Offers the release to the store, on the work loop. The store serializes
+  /// concurrent offers and ignores those that are not newer.
   Task<Result<bool>> offer(std::string head,
                            std::vector<std::string> chunks,
                            Origin origin);
   Task<Result<FetchAnswer>> ask(std::string peer, FetchRequest request);
-  /// Appends the parts named `wanted`, in one or more answers of `peer`.
+  /// Requests the parts named `wanted` from `peer`, repeatedly if they don't
+  /// fit in one answer, and appends them to `parts`.
   Task<Result<void>> fetch(std::string peer,
                            std::vector<std::string> wanted,
                            std::vector<std::string>& parts);
-  /// Appends the parts named `wanted`, out of `known` or the platform.
+  /// Appends the parts named `wanted` to `parts`, from `known` or else from the
+  /// platform.
   Task<Result<void>> read(std::vector<std::string> wanted,
                           KnownParts& known,
                           std::vector<std::string>& parts);
-  /// Adds the part of that name to `answer`, if it is here and there is room.
+  /// Adds the part called `name` to `answer` if the store has it and `answer`
+  /// stays within the size limit. @return Whether it was added.
   bool add(const std::string& name,
            FetchAnswer& answer,
            std::size_t& bytes) const;
--- a/ibismux/relay/release_watch.cc
+++ b/ibismux/relay/release_watch.cc
@@ -18,7 +18,7 @@
 
 constexpr auto kAwait = boost::asio::as_tuple(boost::asio::use_awaitable);
 
-/// Between half of `pause` and the whole.
+/// A random duration between half of `pause` and `pause`.
 Duration jittered(Duration pause) {
   thread_local std::minstd_rand source{std::random_device{}()};
   std::uniform_real_distribution<double> part(0.5, 1.0);
@@ -83,7 +83,8 @@
   }
 }
 
-/// One watch, or the read that comes before the first.
+/// Runs one watch, or the initial read if `since` is empty. @return The version
+/// from which to watch next.
 Task<Result<store::Version>> ReleaseWatch::step(
     Self self,
     std::optional<store::Version> since) {
@@ -103,7 +104,7 @@
   std::string head;
   for (const auto& event : batch->events) {
     if (event.object.name == release::kHeadName && !event.removed) {
-      head = event.object.value;  // The last one counts.
+      head = event.object.value;  // The last event has the newest.
     }
   }
   if (!head.empty()) {
--- a/ibismux/relay/release_watch.h
+++ b/ibismux/relay/release_watch.h
@@ -22,12 +22,12 @@
 class ReleaseFetcher;
 
 /// Watches the platform's releases while this daemon is one of its zone's
-/// watchers, and gives the store what is new.
+/// watchers, and applies new ones through the fetcher.
 ///
-/// Belongs to one loop; only `active()` is thread safe.
+/// Must be used only on its loop; only `active()` is thread safe.
 class ReleaseWatch : public std::enable_shared_from_this<ReleaseWatch> {
  public:
-  /// Hears of each answer of the platform, and of each failure.
+  /// Called for each answer of the platform and for each failure.
   using Listener = std::function<void(const Result<void>&)>;
 
   /// Precondition: the references outlive the loop's thread.
@@ -39,7 +39,7 @@
   /// Call once.
   void start(Listener listener);
   void stop();
-  /// Whether this daemon is a watcher.
+  /// Sets whether this daemon is a watcher of its zone.
   void set_active(bool active);
   [[nodiscard]] bool active() const noexcept { return this->wanted.load(); }
 
--- a/ibismux/relay/tallies.h
+++ b/ibismux/relay/tallies.h
@@ -8,15 +8,16 @@
 
 namespace ibismux::relay {
 
-/// How many daemons have which generation in force. Keeps the few newest
-/// generations apart and counts older ones under the lowest, so that it never
-/// claims more than is true. Not thread safe.
+/// Counts the daemons that have each generation in force. Only a few newest
+/// generations are counted separately; older ones are added to the lowest
+/// generation, so that `reached()` never exceeds the true number. Not thread
+/// safe.
 class Tallies {
  public:
   void add(Generation generation, std::size_t members);
   void add(const Tallies& other);
 
-  /// Daemons with `generation` or a higher one.
+  /// The number of daemons that have `generation` or a higher one in force.
   [[nodiscard]] std::size_t reached(Generation generation) const;
   [[nodiscard]] std::size_t members() const;
   [[nodiscard]] const std::map<Generation, std::size_t>& counts()
--- a/tests/relay/relay_engine_test.cc
+++ b/tests/relay/relay_engine_test.cc
@@ -13,7 +13,8 @@
 using membership::Member;
 using membership::MembershipView;
 
-/// `count` members in `zones` zones, as member `self` sees them.
+/// The view of member number `self` in a fleet of `count` members in `zones`
+/// zones.
 MembershipView view_of(std::size_t count, std::size_t zones, std::size_t self) {
   MembershipView view;
   view.revision = 1;
@@ -68,7 +69,7 @@
   cr_assert(ranks.size() == 30 && *ranks.rbegin() == 29);
 }
 
-Test(tallies, never_claim_more_than_is_true) {
+Test(tallies, reached_never_exceeds_the_true_number) {
   Tallies tallies;
   for (Generation generation = 1; generation <= 9; ++generation) {
     tallies.add(generation, 1);
@@ -81,7 +82,7 @@
   cr_assert(tallies.reached(9) == 1);
 }
 
-Test(relay_engine, a_newer_push_makes_it_fetch_and_an_older_one_nothing) {
+Test(relay_engine, only_a_newer_push_starts_a_fetch) {
   RelayEngine engine({}, 1, start_time());
   engine.on_view(view_of(7, 3, 0), start_time());
   engine.on_applied(5, Origin::kPeer, start_time());
@@ -92,8 +93,9 @@
   cr_assert(engine.take_commands().fetch == "d1001");
 }
 
-// Failure: a daemon stays behind until the next comparison.
-Test(relay_engine, an_announcement_during_a_fetch_is_followed_up) {
+// Failure: a push that arrives during a fetch is lost, and the daemon stays on
+// the older release until the next comparison of generations.
+Test(relay_engine, a_push_during_a_fetch_starts_another_fetch) {
   RelayEngine engine({}, 1, start_time());
   engine.on_view(view_of(7, 3, 0), start_time());
   engine.on_push("d1001", 1, 0s, start_time());
@@ -105,8 +107,9 @@
   cr_assert(engine.take_commands().fetch == "d1002");
 }
 
-// Failure: a zone serves old configuration though the platform has newer.
-Test(relay_engine, old_knowledge_of_peers_does_not_keep_it_from_the_platform) {
+// Failure: the peers' knowledge of the platform is old, but their answers keep
+// the daemon from reading the platform; a zone serves an old configuration.
+Test(relay_engine, stale_peers_make_it_read_the_platform) {
   RelayEngine engine({}, 1, start_time());
   engine.on_view(view_of(7, 3, 0), start_time());
   engine.on_applied(1, Origin::kPeer, start_time());
@@ -126,7 +129,7 @@
       engine.on_platform_read_done();  // It failed.
     }
   }
-  // One each 7.5 to 12.5 s, from the 30th second on.
+  // One read every 7.5 to 12.5 s, starting at 30 s.
   cr_assert(reads >= 7 && reads <= 14);
   engine.on_fetched(0s, now);
   for (; now < start_time() + 150s; now += 50ms) {
@@ -135,8 +138,9 @@
   }
 }
 
-// Failure: the platform refuses everybody when the whole fleet starts.
-Test(relay_engine, a_cold_start_spreads_the_reads) {
+// Failure: when the whole fleet starts, all daemons read the platform at once
+// and it refuses them.
+Test(relay_engine, a_cold_start_spreads_platform_reads) {
   constexpr std::size_t kMembers = 2400;
   std::map<std::int64_t, std::size_t> reads_by_second;
   for (std::size_t i = 0; i < kMembers; i += 8) {
@@ -155,7 +159,7 @@
   }
 }
 
-Test(relay_engine, tallies_of_a_subtree_go_up_when_they_change) {
+Test(relay_engine, subtree_tallies_are_reported_when_they_change) {
   for (std::size_t i = 0; i < 40; ++i) {
     RelayEngine engine({}, 1, start_time());
     engine.on_view(view_of(40, 1, i), start_time());
@@ -172,7 +176,7 @@
     cr_assert(engine.subtree().reached(3) == 1);
     engine.tick(start_time() + 50ms);
     cr_assert(!engine.take_commands().report_to);
-    engine.tick(start_time() + 40s);  // The child is silent.
+    engine.tick(start_time() + 40s);  // The child's report has expired.
     cr_assert(engine.subtree().members() == 1);
     return;
   }
--- a/tests/relay/relay_service_test.cc
+++ b/tests/relay/relay_service_test.cc
@@ -25,7 +25,7 @@
   std::vector<release::Assembly::NewChunk> chunks;
 };
 
-/// By it, the few objects of the sample have index chunks.
+/// A layout that gives even the few sample objects index chunks.
 constexpr release::ReleaseLayout kTwoLevels{.objects_per_chunk = 1,
                                             .fewest_chunks = 16,
                                             .most_direct_chunks = 8};
@@ -40,7 +40,7 @@
   return {release::encode_head(assembly.head), assembly.chunks};
 }
 
-/// Puts a release on the platform, as a publisher does.
+/// Writes a release to the platform as a publisher does.
 void publish(DaemonFleet& fleet,
              Generation generation,
              const release::ReleaseLayout& layout = {}) {
@@ -51,7 +51,7 @@
   fleet.platform.force_put(store::kReleases, release::kHeadName, encoded.head);
 }
 
-/// Puts a release into one daemon's store, as its publisher does.
+/// Offers a release to one daemon's store as its publisher does.
 void publish_at(ControlNode& node,
                 Generation generation,
                 const release::ReleaseLayout& layout = {}) {
@@ -77,7 +77,8 @@
   cr_assert(fleet.nodes[0]->relay.in_force(3).reached == 0);
 }
 
-// Failure: an accepted change stays where it is in an outage.
+// Failure: during a platform outage, an accepted change reaches only the daemon
+// that published it.
 Test(relay_service, peers_carry_a_release_while_the_platform_is_down) {
   DaemonFleet fleet(7);
   publish(fleet, 1);
@@ -89,8 +90,9 @@
   cr_assert(fleet.wait_for_generation(2));
 }
 
-// Failure: a large site's change reaches the publisher's daemon alone.
-Test(relay_service, a_release_with_index_chunks_takes_the_same_ways) {
+// Failure: a release large enough for index chunks reaches only the daemon that
+// published it.
+Test(relay_service, a_release_with_index_chunks_reaches_every_daemon) {
   DaemonFleet fleet(5);
   cr_assert(fleet.wait_for_members());
   publish(fleet, 1, kTwoLevels);
@@ -107,8 +109,9 @@
   }
 }
 
-// Failure: a change takes three round trips on each level of the tree.
-Test(relay_service, an_answer_brings_what_the_asker_cannot_have) {
+// Failure: fetching a change takes three round trips on each level of the tree,
+// because an answer contains only the parts that were requested.
+Test(relay_service, an_answer_includes_parts_newer_than_the_requester_has) {
   DaemonFleet fleet(1);
   cr_assert(fleet.wait_for_members());
   publish_at(*fleet.nodes[0], 2, kTwoLevels);
@@ -128,7 +131,8 @@
   cr_assert(fetcher.answer({2, {}}, Duration::zero()).chunks.empty());
 }
 
-/// A fetcher with two loops: `pool` serves, `offers` puts in force.
+/// A fetcher with two loops: `pool` serves requests, and releases are put in
+/// force on `offers`.
 struct OfferRig {
   OfferRig()
       : view(std::make_shared<const membership::MembershipView>()),
@@ -151,7 +155,7 @@
                              encoded.head);
   }
 
-  /// Takes what is on the platform. @return Whether there was no error.
+  /// Applies the release on the platform. @return Whether there was no error.
   bool take() {
     return boost::asio::co_spawn(this->pool.at(0),
                                  this->fetcher.from_platform(),
@@ -160,7 +164,8 @@
         .has_value();
   }
 
-  /// Has the store's listener wait until the serving loop has done a turn.
+  /// Makes the store's listener wait until the loop of `pool` has run a
+  /// handler.
   void expect_turns() {
     this->releases.on_change([this](Generation) {
       this->origin = ReleaseFetcher::offering();
@@ -185,8 +190,9 @@
   Origin origin = Origin::kPublishedHere;
 };
 
-// Failure: queries wait while a release is put in force.
-Test(relay_service, a_loop_serves_while_a_release_is_put_in_force) {
+// Failure: putting a release in force blocks the loop that serves queries.
+Test(relay_service,
+     the_io_loop_is_not_blocked_while_a_release_is_put_in_force) {
   OfferRig rig;
   rig.expect_turns();
   rig.put(5);
@@ -199,8 +205,9 @@
   cr_assert(rig.releases.generation() == 5);
 }
 
-// Failure: after a rolling restart in an outage nobody has a configuration.
-Test(relay_service, every_daemon_is_replaced_during_an_outage) {
+// Failure: after a rolling restart during a platform outage, no daemon has a
+// configuration.
+Test(relay_service, a_rolling_restart_during_an_outage_keeps_the_release) {
   DaemonFleet fleet(5);
   publish(fleet, 4);
   cr_assert(fleet.wait_for_members());
@@ -214,8 +221,9 @@
   cr_assert(fleet.wait_for_members());
 }
 
-// Failure: a daemon goes back to an older configuration.
-Test(relay_service, an_old_event_does_nothing) {
+// Failure: a watch event for an older release makes a daemon go back to an
+// older configuration.
+Test(relay_service, an_older_release_is_ignored) {
   DaemonFleet fleet(3);
   publish(fleet, 5);
   cr_assert(fleet.wait_for_members());
@@ -228,8 +236,8 @@
   }
 }
 
-// Failure: a paused daemon comes back and undoes what happened meanwhile.
-Test(relay_service, a_frozen_daemon_wakes_and_catches_up) {
+// Failure: a daemon that was paused reverts later changes when it resumes.
+Test(relay_service, a_frozen_daemon_catches_up_after_resuming) {
   DaemonFleet fleet(4);
   publish(fleet, 1);
   cr_assert(fleet.wait_for_members());
--- a/thrift/relay.thrift
+++ b/thrift/relay.thrift
@@ -1,31 +1,32 @@
-/// How releases spread among daemons, and how they report what is in force.
-/// docs/PEERS.md describes when each message is sent; docs/design/spread.md
-/// why.
+/// Messages by which daemons distribute releases and report which generation is
+/// in force. docs/PEERS.md describes when each message is sent;
+/// docs/design/spread.md gives the rationale.
 namespace cpp ibismux.relay.wire
 
-/// kReleasePush: the sender has this release.
+/// kReleasePush: announces the release in force at the sender.
 struct Push {
   1: i64 generation
-  /// The encoded head; empty where it is too long to send unasked.
+  /// The encoded head; empty if it is too long to push.
   2: binary head
-  /// How old the sender's knowledge of the platform is, in milliseconds.
+  /// Age of the sender's knowledge of the platform, in milliseconds.
   3: i64 age_ms
 }
 
-/// kReleaseFetch: "what is newer than this?", or the contents of chunks and
-/// index chunks.
+/// kReleaseFetch: requests a release newer than `have` or, if `chunks` is not
+/// empty, the contents of these chunks and index chunks.
 struct FetchRequest {
-  /// The generation in force at the asker.
+  /// The generation in force at the requester.
   1: i64 have
   2: list<string> chunks
 }
 
 struct FetchAnswer {
   1: i64 generation
-  /// Of the release in force; empty where it is not newer.
+  /// The encoded head of the release in force; empty if it is not newer.
   2: binary head
-  /// Those asked for that the answerer has and that fit in; with a head, or an
-  /// index chunk, also those under it that are newer than what the asker has.
+  /// The requested chunks that the responder has and that fit into the answer.
+  /// With a head or an index chunk, also the chunks under it that were written
+  /// after `have` of the request.
   3: map<string, binary> chunks
   4: i64 age_ms
 }
@@ -36,8 +37,8 @@
   2: i32 members
 }
 
-/// kInForce: a subtree's tallies, to its parent; or a question for the
-/// zone's.
+/// kInForce: reports a subtree's tallies to its parent or, if `question` is
+/// set, asks the first member of a zone for the tallies of the zone.
 struct InForceReport {
   1: bool question
   2: list<Tally> tallies
