--- a/ibismux/relay/messages.cc
+++ b/ibismux/relay/messages.cc
@@ -11,9 +11,9 @@
 
 Duration from_millis(std::int64_t millis) {
   // The bound keeps an invalid value from overflowing the clock's type.
-  constexpr std::int64_t kMost = 24LL * 60 * 60 * 1000;
-  return std::chrono::milliseconds(millis < 0 || millis > kMost ? kMost
-                                                                : millis);
+  constexpr std::int64_t kMaxMillis = 24LL * 60 * 60 * 1000;
+  return std::chrono::milliseconds(
+      millis < 0 || millis > kMaxMillis ? kMaxMillis : millis);
 }
 
 std::vector<wire::Tally> to_wire(const Tallies& tallies) {
--- a/ibismux/relay/relay_engine.cc
+++ b/ibismux/relay/relay_engine.cc
@@ -13,8 +13,8 @@
 constexpr std::size_t kRings = 2;
 /// An interval is multiplied by a random factor between kMinJitterFactor and
 /// kMinJitterFactor + kJitterRange.
-constexpr double kLeastJitter = 0.75;
-constexpr double kJitterSpan = 0.5;
+constexpr double kMinJitterFactor = 0.75;
+constexpr double kJitterRange = 0.5;
 
 }  // namespace
 
@@ -23,26 +23,26 @@
                          TimePoint now)
     : settings(settings),
       random(seed),
-      place(settings.watchers, settings.fan_out),
+      spread_tree(settings.watchers, settings.fan_out),
       overlay(kRings),
-      start_share(this->draw()),
-      started(now),
-      confirmed(now),
+      cold_start_fraction(this->random_fraction()),
+      started_at(now),
+      confirmed_at(now),
       next_compare(now),
       next_read(now),
       next_report(now) {}
 
 void RelayEngine::tick(TimePoint now) {
   if (now >= this->next_compare) {
-    this->compare(now);
+    this->compare_generations(now);
   }
-  this->help_self(now);
-  this->report(now);
+  this->read_platform_if_stale(now);
+  this->report_to_parent(now);
 }
 
 void RelayEngine::on_view(const membership::MembershipView& view,
                           TimePoint now) {
-  this->place.rebuild(view);
+  this->spread_tree.rebuild(view);
   std::vector<std::string> names;
   for (const membership::Member& member : view.members) {
     if (member.serves()) {
@@ -50,8 +50,8 @@
     }
   }
   this->overlay.rebuild(view.self, names);
-  this->fleet = view.serving();
-  const auto& children = this->place.children();
+  this->fleet_size = view.serving();
+  const auto& children = this->spread_tree.children();
   std::erase_if(this->reports, [&children](const auto& entry) {
     return std::find(children.begin(), children.end(), entry.first) ==
            children.end();
@@ -69,16 +69,16 @@
   }
   this->current = generation;
   if (origin != Origin::kPeer) {
-    this->confirmed = now;
+    this->confirmed_at = now;
   }
   // The watchers of other zones also get the release from the platform, but
   // later than from the daemon that has just published it.
   auto& pushes = this->commands.pushes;
   pushes.clear();
   if (origin == Origin::kPublishedHere) {
-    pushes = this->place.entries();
+    pushes = this->spread_tree.entries();
   }
-  for (const std::string& child : this->place.children()) {
+  for (const std::string& child : this->spread_tree.children()) {
     if (std::find(pushes.begin(), pushes.end(), child) == pushes.end()) {
       pushes.push_back(child);
     }
@@ -89,31 +89,31 @@
                           Generation generation,
                           Duration age,
                           TimePoint now) {
-  this->note_age(age, now);
+  this->record_age(age, now);
   if (generation <= this->current) {
     return;
   }
   if (!this->fetching) {
     this->start_fetch(from);
-  } else if (generation > this->offered) {
-    this->offered = generation;
-    this->offered_by = from;
+  } else if (generation > this->pending_generation) {
+    this->pending_generation = generation;
+    this->pending_peer = from;
   }
 }
 
 void RelayEngine::on_fetched(std::optional<Duration> age, TimePoint now) {
   this->fetching = false;
   if (age) {
-    this->note_age(*age, now);
+    this->record_age(*age, now);
   }
-  if (this->offered > this->current) {
-    this->offered = 0;
-    this->start_fetch(std::exchange(this->offered_by, ""));
+  if (this->pending_generation > this->current) {
+    this->pending_generation = 0;
+    this->start_fetch(std::exchange(this->pending_peer, ""));
   }
 }
 
 void RelayEngine::on_platform_seen(TimePoint now) {
-  this->confirmed = now;
+  this->confirmed_at = now;
 }
 
 void RelayEngine::on_report(const std::string& child,
@@ -135,10 +135,10 @@
   return sum;
 }
 
-void RelayEngine::note_age(Duration age, TimePoint now) {
+void RelayEngine::record_age(Duration age, TimePoint now) {
   // An age instead of a time avoids any dependence on the peer's clock.
-  this->confirmed =
-      std::max(this->confirmed, now - std::max(age, Duration::zero()));
+  this->confirmed_at =
+      std::max(this->confirmed_at, now - std::max(age, Duration::zero()));
 }
 
 void RelayEngine::start_fetch(const std::string& from) {
@@ -149,41 +149,42 @@
 /// Compares generations alternately with the parent and with overlay neighbors
 /// in any zone. The parent has the release if only its push was lost; neighbors
 /// in other zones have it if a whole zone missed the push.
-void RelayEngine::compare(TimePoint now) {
-  const bool lacking = this->current == 0;
+void RelayEngine::compare_generations(TimePoint now) {
+  const bool no_release = this->current == 0;
   this->next_compare =
-      now + this->jittered(lacking ? this->settings.first_compare_interval
-                                   : this->settings.compare_interval);
+      now + this->jittered(no_release ? this->settings.first_compare_interval
+                                      : this->settings.compare_interval);
   const auto& peers = this->overlay.neighbours();
   if (this->fetching || peers.empty()) {
     return;
   }
-  ++this->turn;
-  const auto& parent = this->place.parent();
-  if (parent && this->turn % 2 == 0) {
+  ++this->comparison_count;
+  const auto& parent = this->spread_tree.parent();
+  if (parent && this->comparison_count % 2 == 0) {
     this->start_fetch(*parent);
   } else {
-    this->start_fetch(peers[(this->turn / 2) % peers.size()]);
+    this->start_fetch(peers[(this->comparison_count / 2) % peers.size()]);
   }
 }
 
-void RelayEngine::help_self(TimePoint now) {
-  Duration patience = this->settings.self_help_after;
+void RelayEngine::read_platform_if_stale(TimePoint now) {
+  Duration delay = this->settings.self_help_after;
   if (this->current == 0) {
     // In a cold start of the whole fleet the watchers read first. The other
     // daemons spread their reads; otherwise all would read in the same second
     // and the platform would refuse most of them.
-    patience = this->settings.first_read_watcher;
-    if (!this->place.watches()) {
+    delay = this->settings.first_read_watcher;
+    if (!this->spread_tree.watches()) {
       const Duration spread =
-          this->settings.first_read_per_member * this->fleet;
-      patience =
-          this->settings.first_read_other +
-          std::chrono::duration_cast<Duration>(spread * this->start_share);
+          this->settings.first_read_per_member * this->fleet_size;
+      delay = this->settings.first_read_other +
+              std::chrono::duration_cast<Duration>(spread *
+                                                   this->cold_start_fraction);
     }
   }
-  const TimePoint since = this->current == 0 ? this->started : this->confirmed;
-  if (this->reading || now - since < patience || now < this->next_read) {
+  const TimePoint since =
+      this->current == 0 ? this->started_at : this->confirmed_at;
+  if (this->reading || now - since < delay || now < this->next_read) {
     return;
   }
   this->reading = true;
@@ -191,31 +192,31 @@
   this->commands.read_platform = true;
 }
 
-void RelayEngine::report(TimePoint now) {
+void RelayEngine::report_to_parent(TimePoint now) {
   std::erase_if(this->reports, [this, now](const auto& entry) {
-    return now - entry.second.when > this->settings.report_expiry;
+    return now - entry.second.received_at > this->settings.report_expiry;
   });
-  const auto& parent = this->place.parent();
+  const auto& parent = this->spread_tree.parent();
   if (!parent) {
     return;
   }
-  Tallies fresh = this->subtree();
-  if (fresh == this->last_report && parent == this->last_parent &&
+  Tallies current_tallies = this->subtree();
+  if (current_tallies == this->last_report && parent == this->last_parent &&
       now < this->next_report) {
     return;
   }
-  this->last_report = std::move(fresh);
+  this->last_report = std::move(current_tallies);
   this->last_parent = parent;
   this->next_report = now + this->jittered(this->settings.report_interval);
   this->commands.report_to = parent;
 }
 
-Duration RelayEngine::jittered(Duration pause) {
+Duration RelayEngine::jittered(Duration interval) {
   return std::chrono::duration_cast<Duration>(
-      pause * (kLeastJitter + kJitterSpan * this->draw()));
+      interval * (kMinJitterFactor + kJitterRange * this->random_fraction()));
 }
 
-double RelayEngine::draw() {
+double RelayEngine::random_fraction() {
   return std::uniform_real_distribution<double>(0.0, 1.0)(this->random);
 }
 
--- a/ibismux/relay/relay_engine.h
+++ b/ibismux/relay/relay_engine.h
@@ -65,11 +65,11 @@
   /// @{
   [[nodiscard]] RelayCommands take_commands();
   [[nodiscard]] const membership::SpreadTree& tree() const noexcept {
-    return this->place;
+    return this->spread_tree;
   }
   /// The age of this daemon's knowledge of the platform.
   [[nodiscard]] Duration age(TimePoint now) const noexcept {
-    return now - this->confirmed;
+    return now - this->confirmed_at;
   }
   /// How many daemons of this daemon's subtree, itself included, have which
   /// generation in force.
@@ -80,20 +80,20 @@
  private:
   struct Report {
     Tallies tallies;
-    TimePoint when;
+    TimePoint received_at;
   };
 
-  void note_age(Duration age, TimePoint now);
+  void record_age(Duration age, TimePoint now);
   void start_fetch(const std::string& from);
-  void compare(TimePoint now);
-  void help_self(TimePoint now);
-  void report(TimePoint now);
-  [[nodiscard]] Duration jittered(Duration pause);
-  [[nodiscard]] double draw();
+  void compare_generations(TimePoint now);
+  void read_platform_if_stale(TimePoint now);
+  void report_to_parent(TimePoint now);
+  [[nodiscard]] Duration jittered(Duration interval);
+  [[nodiscard]] double random_fraction();
 
   const RelaySettings settings;
   pcg64 random;
-  membership::SpreadTree place;
+  membership::SpreadTree spread_tree;
   membership::Overlay overlay;
   RelayCommands commands;
 
@@ -101,14 +101,15 @@
   bool fetching = false;
   bool reading = false;
   // A newer release that a peer announced while a fetch was running.
-  std::string offered_by;
-  Generation offered = 0;
-
-  std::size_t turn = 0;
-  std::size_t fleet = 1;
-  double start_share;  // In [0, 1): part of the spread of cold-start reads.
-  TimePoint started;
-  TimePoint confirmed;  // The platform may have a newer release since then.
+  std::string pending_peer;
+  Generation pending_generation = 0;
+
+  std::size_t comparison_count = 0;
+  std::size_t fleet_size = 1;
+  double cold_start_fraction;  // In [0, 1): part of the spread of cold-start
+                               // reads.
+  TimePoint started_at;
+  TimePoint confirmed_at;  // The platform may have a newer release since then.
   TimePoint next_compare;
   TimePoint next_read;
 
--- a/ibismux/relay/relay_service_impl.cc
+++ b/ibismux/relay/relay_service_impl.cc
@@ -23,7 +23,7 @@
 
 constexpr auto kAwait = boost::asio::as_tuple(boost::asio::use_awaitable);
 /// A push leaves out a longer head, since many peers already have it.
-constexpr std::size_t kMostPushedHead = 2048;
+constexpr std::size_t kMaxPushedHeadBytes = 2048;
 
 }  // namespace
 
@@ -57,9 +57,9 @@
         const auto self = weak.lock();
         auto push = decode_push(payload);
         if (self && push) {
-          boost::asio::co_spawn(self->loop,
-                                take_push(self, from.member, std::move(*push)),
-                                boost::asio::detached);
+          boost::asio::co_spawn(
+              self->loop, handle_push(self, from.member, std::move(*push)),
+              boost::asio::detached);
         }
       });
   this->network.on_request(
@@ -73,8 +73,8 @@
       [weak](Incarnation from,
              std::string payload) -> Task<Result<std::string>> {
         const auto self = weak.lock();
-        return serve_on_loop(
-            self, answer_report(self, std::move(from), std::move(payload)));
+        return run_on_loop(
+            self, handle_report(self, std::move(from), std::move(payload)));
       });
 }
 
@@ -82,9 +82,9 @@
   const auto self = this->shared_from_this();
   boost::asio::co_spawn(this->loop, run(self), boost::asio::detached);
   this->watch->start(
-      [weak = this->weak_from_this()](const Result<void>& outcome) {
+      [weak = this->weak_from_this()](const Result<void>& result) {
         if (const auto self = weak.lock()) {
-          self->take_watch_outcome(outcome);
+          self->on_watch_result(result);
         }
       });
 }
@@ -108,21 +108,21 @@
   boost::asio::post(this->loop,
                     [self = this->shared_from_this(), generation, origin] {
                       self->engine.on_applied(generation, origin, Clock::now());
-                      self->carry_out();
+                      self->execute_commands();
                     });
 }
 
 Task<void> RelayService::Impl::run(Self self) {
   while (!self->stopped) {
-    self->look_at_view();
+    self->apply_view();
     const TimePoint now = Clock::now();
     self->engine.tick(now);
     self->age_ms = to_millis(self->engine.age(now));
-    self->carry_out();
-    if (!self->asking && now >= self->next_question &&
-        self->board.wanted(now)) {
-      self->asking = true;
-      boost::asio::co_spawn(self->loop, ask_zones(self), boost::asio::detached);
+    self->execute_commands();
+    if (!self->polling && now >= self->next_poll && self->board.wanted(now)) {
+      self->polling = true;
+      boost::asio::co_spawn(self->loop, poll_zones(self),
+                            boost::asio::detached);
     }
     self->tick_timer.expires_after(self->settings.tick);
     const auto [cancelled] = co_await self->tick_timer.async_wait(kAwait);
@@ -130,7 +130,7 @@
   }
 }
 
-void RelayService::Impl::look_at_view() {
+void RelayService::Impl::apply_view() {
   const auto members = this->view.read();
   if (members->revision == this->seen_revision) {
     return;
@@ -142,7 +142,7 @@
   this->watch->set_active(this->engine.tree().watches());
 }
 
-void RelayService::Impl::carry_out() {
+void RelayService::Impl::execute_commands() {
   RelayCommands commands = this->engine.take_commands();
   const auto self = this->shared_from_this();
   if (!commands.pushes.empty()) {
@@ -168,7 +168,7 @@
   message.generation = this->releases.generation();
   message.age = this->engine.age(Clock::now());
   message.head = this->releases.head();
-  if (message.head.size() > kMostPushedHead) {
+  if (message.head.size() > kMaxPushedHeadBytes) {
     message.head.clear();
   }
   const std::string payload = encode(message);
@@ -178,9 +178,9 @@
   }
 }
 
-Task<void> RelayService::Impl::take_push(Self self,
-                                         std::string peer,
-                                         PushMessage push) {
+Task<void> RelayService::Impl::handle_push(Self self,
+                                           std::string peer,
+                                           PushMessage push) {
   // A push that contains the head saves a round trip: only missing chunks, if
   // any, must be fetched.
   if (!push.head.empty() && push.generation > self->releases.generation()) {
@@ -188,7 +188,7 @@
     const auto taken = co_await self->fetcher.take_from_peer(
         std::move(source), std::move(push.head));
     if (!taken) {
-      self->note_failure(taken.error(), "push");
+      self->record_failure(taken.error(), "push");
     }
   }
   if (!self->stopped) {
@@ -197,7 +197,7 @@
     const Generation beyond =
         push.generation > self->releases.generation() ? push.generation : 0;
     self->engine.on_push(peer, beyond, push.age, Clock::now());
-    self->carry_out();
+    self->execute_commands();
   }
 }
 
@@ -205,12 +205,12 @@
   self->metrics.fetches->Increment();
   const auto age = co_await self->fetcher.from_peer(std::move(peer));
   if (!age && age.error().kind != ErrorKind::kPeerUnavailable) {
-    self->note_failure(age.error(), "peer");
+    self->record_failure(age.error(), "peer");
   }
   if (!self->stopped) {
     self->engine.on_fetched(age ? std::optional<Duration>(*age) : std::nullopt,
                             Clock::now());
-    self->carry_out();
+    self->execute_commands();
   }
 }
 
@@ -223,16 +223,16 @@
   if (version) {
     self->engine.on_platform_seen(Clock::now());
   } else {
-    self->note_failure(version.error(), "platform");
+    self->record_failure(version.error(), "platform");
   }
   self->engine.on_platform_read_done();
 }
 
-void RelayService::Impl::take_watch_outcome(const Result<void>& outcome) {
-  if (outcome) {
+void RelayService::Impl::on_watch_result(const Result<void>& result) {
+  if (result) {
     this->engine.on_platform_seen(Clock::now());
   } else {
-    this->note_failure(outcome.error(), "watch");
+    this->record_failure(result.error(), "watch");
   }
 }
 
@@ -245,7 +245,7 @@
   static_cast<void>(answer);  // A lost report is covered by the next one.
 }
 
-Task<void> RelayService::Impl::ask_zones(Self self) {
+Task<void> RelayService::Impl::poll_zones(Self self) {
   const std::vector<std::string> roots = self->engine.tree().roots();
   const TimePoint deadline = Clock::now() + self->settings.request_timeout;
   for (const std::string& root : roots) {
@@ -261,11 +261,11 @@
                             : Result<Tallies>(Tallies{});
     self->board.put(root, tallies.value_or(Tallies{}));
   }
-  self->asking = false;
-  self->next_question = Clock::now() + self->settings.ask_interval;
+  self->polling = false;
+  self->next_poll = Clock::now() + self->settings.ask_interval;
 }
 
-Task<Result<std::string>> RelayService::Impl::answer_report(
+Task<Result<std::string>> RelayService::Impl::handle_report(
     Self self,
     Incarnation from,
     std::string payload) {
@@ -294,7 +294,7 @@
   co_return encode(self->fetcher.answer(*request, age));
 }
 
-Task<Result<std::string>> RelayService::Impl::serve_on_loop(
+Task<Result<std::string>> RelayService::Impl::run_on_loop(
     Self self,
     Task<Result<std::string>> work) {
   if (!self) {
@@ -305,7 +305,8 @@
   co_return result;
 }
 
-void RelayService::Impl::note_failure(const Error& error, const char* source) {
+void RelayService::Impl::record_failure(const Error& error,
+                                        const char* source) {
   this->metrics.rejected->Increment();
   LOG_EVERY_N(WARNING, 20) << "event=release_not_taken source=" << source
                            << " error=\"" << to_string(error) << "\"";
--- a/ibismux/relay/relay_service_impl.h
+++ b/ibismux/relay/relay_service_impl.h
@@ -52,23 +52,22 @@
 
   static Task<void> run(Self self);
   static Task<void> fetch(Self self, std::string peer);
-  static Task<void> take_push(Self self, std::string peer, PushMessage push);
+  static Task<void> handle_push(Self self, std::string peer, PushMessage push);
   static Task<void> read_platform(Self self);
   static Task<void> send_report(Self self, std::string parent);
-  static Task<void> ask_zones(Self self);
-  static Task<Result<std::string>> answer_report(Self self,
+  static Task<void> poll_zones(Self self);
+  static Task<Result<std::string>> handle_report(Self self,
                                                  Incarnation from,
                                                  std::string payload);
   static Task<Result<std::string>> answer_fetch(Self self, std::string payload);
-  static Task<Result<std::string>> serve_on_loop(
-      Self self,
-      Task<Result<std::string>> work);
+  static Task<Result<std::string>> run_on_loop(Self self,
+                                               Task<Result<std::string>> work);
 
-  void look_at_view();
-  void take_watch_outcome(const Result<void>& outcome);
-  void carry_out();
+  void apply_view();
+  void on_watch_result(const Result<void>& result);
+  void execute_commands();
   void push(const std::vector<std::string>& peers);
-  void note_failure(const Error& error, const char* source);
+  void record_failure(const Error& error, const char* source);
 
   const RelaySettings settings;
   boost::asio::io_context& loop;
@@ -83,8 +82,8 @@
   mutable InForceBoard board;
   std::atomic<std::int64_t> age_ms{0};
   std::uint64_t seen_revision = 0;
-  bool asking = false;
-  TimePoint next_question{};
+  bool polling = false;
+  TimePoint next_poll{};
   bool stopped = false;
 };
 
--- a/ibismux/relay/release_fetcher.cc
+++ b/ibismux/relay/release_fetcher.cc
@@ -15,9 +15,9 @@
 
 /// Maximum size of one answer, so that several chunks of almost a megabyte
 /// don't exceed the frame size limit.
-constexpr std::size_t kMostAnswerBytes = 2 * 1024 * 1024;
+constexpr std::size_t kMaxAnswerBytes = 2 * 1024 * 1024;
 
-thread_local Origin offered_from = Origin::kPublishedHere;
+thread_local Origin current_offer_origin = Origin::kPublishedHere;
 
 }  // namespace
 
@@ -25,7 +25,8 @@
   FetchRequest request;
   request.have = this->releases.generation();
   std::string source = peer;
-  auto answer = co_await this->ask(std::move(source), std::move(request));
+  auto answer =
+      co_await this->send_request(std::move(source), std::move(request));
   if (!answer) {
     co_return tl::unexpected<Error>(answer.error());
   }
@@ -34,10 +35,10 @@
     for (auto& [name, contents] : answer->chunks) {
       fetched.push_back(std::move(contents));
     }
-    const auto taken = co_await this->take_from_peer(
+    const auto applied = co_await this->take_from_peer(
         std::move(peer), std::move(answer->head), std::move(fetched));
-    if (!taken) {
-      co_return tl::unexpected<Error>(taken.error());
+    if (!applied) {
+      co_return tl::unexpected<Error>(applied.error());
     }
   }
   co_return answer->age;
@@ -53,8 +54,8 @@
       co_return tl::unexpected<Error>(missing.error());
     }
     std::string source = peer;
-    const auto done =
-        co_await this->fetch(std::move(source), std::move(*missing), fetched);
+    const auto done = co_await this->fetch_parts(std::move(source),
+                                                 std::move(*missing), fetched);
     if (!done) {
       co_return tl::unexpected<Error>(done.error());
     }
@@ -63,13 +64,15 @@
                                  Origin::kPeer);
 }
 
-Task<Result<void>> ReleaseFetcher::fetch(std::string peer,
-                                         std::vector<std::string> wanted,
-                                         std::vector<std::string>& parts) {
+Task<Result<void>> ReleaseFetcher::fetch_parts(
+    std::string peer,
+    std::vector<std::string> wanted,
+    std::vector<std::string>& parts) {
   while (!wanted.empty()) {
     FetchRequest request{this->releases.generation(), wanted};
     std::string source = peer;
-    auto answer = co_await this->ask(std::move(source), std::move(request));
+    auto answer =
+        co_await this->send_request(std::move(source), std::move(request));
     if (!answer) {
       co_return tl::unexpected<Error>(answer.error());
     }
@@ -89,23 +92,23 @@
 }
 
 Origin ReleaseFetcher::offering() noexcept {
-  return offered_from;
+  return current_offer_origin;
 }
 
 Task<Result<bool>> ReleaseFetcher::offer(std::string head,
                                          std::vector<std::string> chunks,
                                          Origin origin) {
   auto work = [this, &head, &chunks, origin] {
-    offered_from = origin;
-    auto taken = this->releases.offer(head, chunks);
-    offered_from = Origin::kPublishedHere;
-    return taken;
+    current_offer_origin = origin;
+    auto applied = this->releases.offer(head, chunks);
+    current_offer_origin = Origin::kPublishedHere;
+    return applied;
   };
   co_return co_await release::run_on(this->work, work);
 }
 
-Task<Result<FetchAnswer>> ReleaseFetcher::ask(std::string peer,
-                                              FetchRequest request) {
+Task<Result<FetchAnswer>> ReleaseFetcher::send_request(std::string peer,
+                                                       FetchRequest request) {
   const TimePoint deadline = Clock::now() + this->settings.request_timeout;
   std::string payload = encode(request);
   const auto response = co_await this->network.request(
@@ -129,11 +132,11 @@
   if (!head) {
     co_return tl::unexpected<Error>(head.error());
   }
-  store::WatchBatch nothing;
-  const auto taken = co_await this->take_from_platform(std::move(head->value),
-                                                       std::move(nothing));
-  if (!taken) {
-    co_return tl::unexpected<Error>(taken.error());
+  store::WatchBatch empty_batch;
+  const auto applied = co_await this->take_from_platform(
+      std::move(head->value), std::move(empty_batch));
+  if (!applied) {
+    co_return tl::unexpected<Error>(applied.error());
   }
   co_return head->version;
 }
@@ -156,7 +159,8 @@
     if (!missing) {
       co_return tl::unexpected<Error>(missing.error());
     }
-    const auto done = co_await this->read(std::move(*missing), known, chunks);
+    const auto done =
+        co_await this->read_parts(std::move(*missing), known, chunks);
     if (!done) {
       co_return tl::unexpected<Error>(done.error());
     }
@@ -165,9 +169,9 @@
                                  Origin::kPlatform);
 }
 
-Task<Result<void>> ReleaseFetcher::read(std::vector<std::string> wanted,
-                                        KnownParts& known,
-                                        std::vector<std::string>& parts) {
+Task<Result<void>> ReleaseFetcher::read_parts(std::vector<std::string> wanted,
+                                              KnownParts& known,
+                                              std::vector<std::string>& parts) {
   for (std::string& name : wanted) {
     const auto found = known.find(name);
     if (found != known.end()) {
@@ -186,12 +190,11 @@
   co_return Result<void>();
 }
 
-bool ReleaseFetcher::add(const std::string& name,
-                         FetchAnswer& answer,
-                         std::size_t& bytes) const {
+bool ReleaseFetcher::add_part(const std::string& name,
+                              FetchAnswer& answer,
+                              std::size_t& bytes) const {
   auto contents = this->releases.chunk(name);
-  if (!contents ||
-      (bytes != 0 && bytes + contents->size() > kMostAnswerBytes)) {
+  if (!contents || (bytes != 0 && bytes + contents->size() > kMaxAnswerBytes)) {
     return false;
   }
   bytes += contents->size();
@@ -207,7 +210,7 @@
   std::size_t bytes = 0;
   std::vector<std::string> implied;
   for (const std::string& name : request.chunks) {
-    if (this->add(name, answer, bytes) &&
+    if (this->add_part(name, answer, bytes) &&
         release::parse_chunk_name(name).is_index) {
       std::vector<std::string> under =
           this->releases.written_since(request.have, name);
@@ -220,7 +223,7 @@
     implied = this->releases.written_since(request.have);
   }
   for (const std::string& name : implied) {
-    static_cast<void>(this->add(name, answer, bytes));
+    static_cast<void>(this->add_part(name, answer, bytes));
   }
   return answer;
 }
--- a/ibismux/relay/release_fetcher.h
+++ b/ibismux/relay/release_fetcher.h
@@ -89,22 +89,23 @@
   Task<Result<bool>> offer(std::string head,
                            std::vector<std::string> chunks,
                            Origin origin);
-  Task<Result<FetchAnswer>> ask(std::string peer, FetchRequest request);
+  Task<Result<FetchAnswer>> send_request(std::string peer,
+                                         FetchRequest request);
   /// Requests the parts named `wanted` from `peer`, repeatedly if they don't
   /// fit in one answer, and appends them to `parts`.
-  Task<Result<void>> fetch(std::string peer,
-                           std::vector<std::string> wanted,
-                           std::vector<std::string>& parts);
+  Task<Result<void>> fetch_parts(std::string peer,
+                                 std::vector<std::string> wanted,
+                                 std::vector<std::string>& parts);
   /// Appends the parts named `wanted` to `parts`, from `known` or else from the
   /// platform.
-  Task<Result<void>> read(std::vector<std::string> wanted,
-                          KnownParts& known,
-                          std::vector<std::string>& parts);
+  Task<Result<void>> read_parts(std::vector<std::string> wanted,
+                                KnownParts& known,
+                                std::vector<std::string>& parts);
   /// Adds the part called `name` to `answer` if the store has it and `answer`
   /// stays within the size limit. @return Whether it was added.
-  bool add(const std::string& name,
-           FetchAnswer& answer,
-           std::size_t& bytes) const;
+  bool add_part(const std::string& name,
+                FetchAnswer& answer,
+                std::size_t& bytes) const;
 
   const RelaySettings& settings;
   peer::PeerNetwork& network;
--- a/ibismux/relay/release_watch.cc
+++ b/ibismux/relay/release_watch.cc
@@ -49,7 +49,7 @@
 }
 
 void ReleaseWatch::set_active(bool active) {
-  if (!this->wanted.exchange(active) && active) {
+  if (!this->enabled.exchange(active) && active) {
     this->timer.cancel();
   }
 }
@@ -64,7 +64,7 @@
   std::optional<store::Version> since;
   Duration pause = self->settings.first_watch_retry;
   while (!self->stopped) {
-    if (!self->wanted) {
+    if (!self->enabled) {
       since.reset();
       co_await sleep(self, self->settings.compare_interval);
       continue;
@@ -108,10 +108,10 @@
     }
   }
   if (!head.empty()) {
-    const auto taken = co_await self->fetcher.take_from_platform(
+    const auto applied = co_await self->fetcher.take_from_platform(
         std::move(head), std::move(*batch));
-    if (!taken) {
-      co_return tl::unexpected<Error>(taken.error());
+    if (!applied) {
+      co_return tl::unexpected<Error>(applied.error());
     }
   }
   co_return version;
--- a/ibismux/relay/release_watch.h
+++ b/ibismux/relay/release_watch.h
@@ -41,7 +41,7 @@
   void stop();
   /// Sets whether this daemon is a watcher of its zone.
   void set_active(bool active);
-  [[nodiscard]] bool active() const noexcept { return this->wanted.load(); }
+  [[nodiscard]] bool active() const noexcept { return this->enabled.load(); }
 
  private:
   using Self = std::shared_ptr<ReleaseWatch>;
@@ -57,7 +57,7 @@
   ReleaseFetcher& fetcher;
   boost::asio::steady_timer timer;
   Listener listener;
-  std::atomic<bool> wanted{false};
+  std::atomic<bool> enabled{false};
   bool stopped = false;
 };
 
--- a/ibismux/relay/tallies.cc
+++ b/ibismux/relay/tallies.cc
@@ -7,7 +7,7 @@
     return;
   }
   this->by_generation[generation] += members;
-  if (this->by_generation.size() > kKept) {
+  if (this->by_generation.size() > kMaxGenerations) {
     const auto lowest = this->by_generation.begin();
     const auto second = std::next(lowest);
     lowest->second += second->second;
--- a/ibismux/relay/tallies.h
+++ b/ibismux/relay/tallies.h
@@ -27,7 +27,7 @@
   [[nodiscard]] bool operator==(const Tallies&) const = default;
 
  private:
-  static constexpr std::size_t kKept = 4;
+  static constexpr std::size_t kMaxGenerations = 4;
 
   std::map<Generation, std::size_t> by_generation;
 };
--- a/tests/relay/relay_engine_test.cc
+++ b/tests/relay/relay_engine_test.cc
@@ -34,7 +34,7 @@
 
 Test(spread_tree, every_member_is_reached_once_by_bounded_fan_out) {
   constexpr std::size_t kMembers = 150;
-  std::map<std::string, std::set<std::string>> below;
+  std::map<std::string, std::set<std::string>> children_of;
   std::size_t roots = 0;
   std::size_t watchers = 0;
   for (std::size_t i = 0; i < kMembers; ++i) {
@@ -45,14 +45,14 @@
     roots += tree.parent() ? 0 : 1;
     watchers += tree.watches() ? 1 : 0;
     for (const std::string& child : tree.children()) {
-      for (auto& [parent, children] : below) {
+      for (auto& [parent, children] : children_of) {
         cr_assert(!children.contains(child));
       }
-      below[view.self].insert(child);
+      children_of[view.self].insert(child);
     }
   }
   std::size_t reached = 0;
-  for (const auto& [parent, children] : below) {
+  for (const auto& [parent, children] : children_of) {
     reached += children.size();
   }
   cr_assert(roots == 3 && watchers == 6);
--- a/tests/relay/relay_service_test.cc
+++ b/tests/relay/relay_service_test.cc
@@ -132,21 +132,21 @@
 }
 
 /// A fetcher with two loops: `pool` serves requests, and releases are put in
-/// force on `offers`.
-struct OfferRig {
-  OfferRig()
+/// force on `offer_pool`.
+struct OfferFixture {
+  OfferFixture()
       : view(std::make_shared<const membership::MembershipView>()),
         network(pool, peer::PeerSettings{}, view, registry),
-        fetcher(settings, network, platform, releases, &offers.at(0)) {
+        fetcher(settings, network, platform, releases, &offer_pool.at(0)) {
     this->pool.start();
-    this->offers.start();
+    this->offer_pool.start();
   }
-  ~OfferRig() {
-    this->offers.stop();
+  ~OfferFixture() {
+    this->offer_pool.stop();
     this->pool.stop();
   }
 
-  void put(Generation generation) {
+  void publish(Generation generation) {
     const Encoded encoded = encode_release(generation);
     for (const auto& chunk : encoded.chunks) {
       this->platform.force_put(store::kReleases, chunk.name, chunk.bytes);
@@ -156,7 +156,7 @@
   }
 
   /// Applies the release on the platform. @return Whether there was no error.
-  bool take() {
+  bool apply_from_platform() {
     return boost::asio::co_spawn(this->pool.at(0),
                                  this->fetcher.from_platform(),
                                  boost::asio::use_future)
@@ -166,19 +166,20 @@
 
   /// Makes the store's listener wait until the loop of `pool` has run a
   /// handler.
-  void expect_turns() {
+  void check_loop_on_change() {
     this->releases.on_change([this](Generation) {
       this->origin = ReleaseFetcher::offering();
-      auto turned = std::make_shared<std::promise<void>>();
-      auto turn = turned->get_future();
-      boost::asio::post(this->pool.at(0), [turned] { turned->set_value(); });
-      this->served =
-          turn.wait_for(std::chrono::seconds(60)) == std::future_status::ready;
+      auto handler_ran = std::make_shared<std::promise<void>>();
+      auto handler_done = handler_ran->get_future();
+      boost::asio::post(this->pool.at(0),
+                        [handler_ran] { handler_ran->set_value(); });
+      this->loop_responsive = handler_done.wait_for(std::chrono::seconds(60)) ==
+                              std::future_status::ready;
     });
   }
 
   IoPool pool{1};
-  IoPool offers{1};
+  IoPool offer_pool{1};
   RcuCell<membership::MembershipView> view;
   prometheus::Registry registry;
   ibismux::testing::MemoryObjectStore platform;
@@ -186,23 +187,23 @@
   peer::TcpPeerNetwork network;
   const RelaySettings settings;
   ReleaseFetcher fetcher;
-  bool served = false;
+  bool loop_responsive = false;
   Origin origin = Origin::kPublishedHere;
 };
 
 // Failure: putting a release in force blocks the loop that serves queries.
 Test(relay_service,
      the_io_loop_is_not_blocked_while_a_release_is_put_in_force) {
-  OfferRig rig;
-  rig.expect_turns();
-  rig.put(5);
-  cr_assert(rig.take());
-  cr_assert(rig.served);
-  cr_assert(rig.origin == Origin::kPlatform);
-  cr_assert(rig.releases.generation() == 5);
-  rig.put(3);
-  cr_assert(rig.take());
-  cr_assert(rig.releases.generation() == 5);
+  OfferFixture fixture;
+  fixture.check_loop_on_change();
+  fixture.publish(5);
+  cr_assert(fixture.apply_from_platform());
+  cr_assert(fixture.loop_responsive);
+  cr_assert(fixture.origin == Origin::kPlatform);
+  cr_assert(fixture.releases.generation() == 5);
+  fixture.publish(3);
+  cr_assert(fixture.apply_from_platform());
+  cr_assert(fixture.releases.generation() == 5);
 }
 
 // Failure: after a rolling restart during a platform outage, no daemon has a
