--- a/ibismux/relay/in_force_board.h
+++ b/ibismux/relay/in_force_board.h
@@ -21,7 +21,7 @@
   /// Records the time of the read. @return The sum over all zones.
   [[nodiscard]] Tallies read(TimePoint now) {
     std::lock_guard lock(this->mutex);
-    this->asked = now;
+    this->last_read = now;
     Tallies sum;
     for (const auto& [root, tallies] : this->zones) {
       sum.add(tallies);
@@ -32,7 +32,7 @@
   /// Whether `read()` was called within the last `kPollAfterRead`.
   [[nodiscard]] bool wanted(TimePoint now) {
     std::lock_guard lock(this->mutex);
-    return now - this->asked < kInterest;
+    return now - this->last_read < kPollAfterRead;
   }
 
   /// Replaces the tallies reported by `root`, the first member of a zone.
@@ -50,11 +50,11 @@
   }
 
  private:
-  static constexpr std::chrono::seconds kInterest{5};
+  static constexpr std::chrono::seconds kPollAfterRead{5};
 
   std::mutex mutex;
   std::map<std::string, Tallies> zones;
-  TimePoint asked = TimePoint{} - kInterest;
+  TimePoint last_read = TimePoint{} - kPollAfterRead;
 };
 
 }  // namespace ibismux::relay
--- a/ibismux/relay/relay_engine.h
+++ b/ibismux/relay/relay_engine.h
@@ -25,7 +25,8 @@
   std::vector<std::string> pushes;   ///< Push the release in force to these.
   std::optional<std::string> fetch;  ///< Ask this peer for a newer release.
   bool read_platform = false;        ///< Read the platform's head once.
-  std::optional<std::string> report_to;  ///< Send `subtree()` to this peer.
+  /// Send `subtree()` to this peer.
+  std::optional<std::string> report_to;
 };
 
 /// Makes all decisions of the distribution of releases. It uses no sockets and
@@ -106,8 +107,7 @@
 
   std::size_t comparison_count = 0;
   std::size_t fleet_size = 1;
-  double cold_start_fraction;  // In [0, 1): part of the spread of cold-start
-                               // reads.
+  double cold_start_fraction;  // In [0, 1): part of the cold-start spread.
   TimePoint started_at;
   TimePoint confirmed_at;  // The platform may have a newer release since then.
   TimePoint next_compare;
--- a/ibismux/relay/relay_settings.h
+++ b/ibismux/relay/relay_settings.h
@@ -12,8 +12,7 @@
   std::chrono::milliseconds tick{50};
   std::size_t watchers = 2;  ///< Daemons of each availability zone that watch
                              ///< the platform.
-  std::size_t fan_out =
-      8;  ///< Maximum children of a daemon in its zone's tree.
+  std::size_t fan_out = 8;   ///< Maximum children of a daemon in the tree.
 
   /// Interval between comparisons of generations with a peer; the second one
   /// applies while this daemon has no release.
@@ -29,8 +28,8 @@
   std::chrono::milliseconds first_read_watcher{200};
   std::chrono::milliseconds first_read_other{2000};
   std::chrono::milliseconds first_read_per_member{5};
-  /// Minimum interval between such reads of the platform, before jitter. The
-  /// first read is not delayed by it.
+  /// Minimum interval, before jitter, between these reads of the platform. It
+  /// doesn't delay the first one.
   std::chrono::milliseconds read_refill{10000};
 
   std::chrono::milliseconds report_interval{10000};  ///< If nothing changed.
