--- a/ibismux/relay/relay_service_impl.cc
+++ b/ibismux/relay/relay_service_impl.cc
@@ -22,7 +22,7 @@
 using peer::MessageKind;
 
 constexpr auto kAwait = boost::asio::as_tuple(boost::asio::use_awaitable);
-/// A push leaves out a longer head, since many peers already have it.
+/// A push leaves out a head longer than this, since many peers already have it.
 constexpr std::size_t kMaxPushedHeadBytes = 2048;
 
 }  // namespace
@@ -242,7 +242,7 @@
   std::string payload = encode(report);
   const auto answer = co_await self->network.request(
       std::move(parent), MessageKind::kInForce, std::move(payload), deadline);
-  static_cast<void>(answer);  // A lost report is covered by the next one.
+  static_cast<void>(answer);  // Reports are repeated.
 }
 
 Task<void> RelayService::Impl::poll_zones(Self self) {
--- a/ibismux/relay/release_fetcher.h
+++ b/ibismux/relay/release_fetcher.h
@@ -101,8 +101,9 @@
   Task<Result<void>> read_parts(std::vector<std::string> wanted,
                                 KnownParts& known,
                                 std::vector<std::string>& parts);
-  /// Adds the part called `name` to `answer` if the store has it and `answer`
-  /// stays within the size limit. @return Whether it was added.
+  /// Adds the part called `name` to `answer` if the store has it and there is
+  /// room for it. A part of any size fits if `bytes` is 0.
+  /// @return Whether it was added.
   bool add_part(const std::string& name,
                 FetchAnswer& answer,
                 std::size_t& bytes) const;
--- a/ibismux/relay/release_watch.cc
+++ b/ibismux/relay/release_watch.cc
@@ -104,7 +104,7 @@
   std::string head;
   for (const auto& event : batch->events) {
     if (event.object.name == release::kHeadName && !event.removed) {
-      head = event.object.value;  // The last event has the newest.
+      head = event.object.value;  // The last one is the newest.
     }
   }
   if (!head.empty()) {
--- a/tests/relay/relay_service_test.cc
+++ b/tests/relay/relay_service_test.cc
@@ -146,7 +146,7 @@
     this->pool.stop();
   }
 
-  void publish(Generation generation) {
+  void publish_to_platform(Generation generation) {
     const Encoded encoded = encode_release(generation);
     for (const auto& chunk : encoded.chunks) {
       this->platform.force_put(store::kReleases, chunk.name, chunk.bytes);
@@ -196,12 +196,12 @@
      the_io_loop_is_not_blocked_while_a_release_is_put_in_force) {
   OfferFixture fixture;
   fixture.check_loop_on_change();
-  fixture.publish(5);
+  fixture.publish_to_platform(5);
   cr_assert(fixture.apply_from_platform());
   cr_assert(fixture.loop_responsive);
   cr_assert(fixture.origin == Origin::kPlatform);
   cr_assert(fixture.releases.generation() == 5);
-  fixture.publish(3);
+  fixture.publish_to_platform(3);
   cr_assert(fixture.apply_from_platform());
   cr_assert(fixture.releases.generation() == 5);
 }
