--- a/ibismux/relay/relay_engine.cc
+++ b/ibismux/relay/relay_engine.cc
@@ -152,7 +152,7 @@
 void RelayEngine::compare_generations(TimePoint now) {
   const bool no_release = this->current == 0;
   this->next_compare =
-      now + this->jittered(no_release ? this->settings.first_compare_interval
+      now + this->jittered(no_release ? this->settings.initial_compare_interval
                                       : this->settings.compare_interval);
   const auto& peers = this->overlay.neighbours();
   if (this->fetching || peers.empty()) {
@@ -168,16 +168,16 @@
 }
 
 void RelayEngine::read_platform_if_stale(TimePoint now) {
-  Duration delay = this->settings.self_help_after;
+  Duration delay = this->settings.max_platform_age;
   if (this->current == 0) {
     // In a cold start of the whole fleet the watchers read first. The other
     // daemons spread their reads; otherwise all would read in the same second
     // and the platform would refuse most of them.
-    delay = this->settings.first_read_watcher;
+    delay = this->settings.watcher_first_read_delay;
     if (!this->spread_tree.watches()) {
       const Duration spread =
-          this->settings.first_read_per_member * this->fleet_size;
-      delay = this->settings.first_read_other +
+          this->settings.first_read_spread_per_member * this->fleet_size;
+      delay = this->settings.other_first_read_delay +
               std::chrono::duration_cast<Duration>(spread *
                                                    this->cold_start_fraction);
     }
@@ -188,7 +188,7 @@
     return;
   }
   this->reading = true;
-  this->next_read = now + this->jittered(this->settings.read_refill);
+  this->next_read = now + this->jittered(this->settings.min_read_interval);
   this->commands.read_platform = true;
 }
 
--- a/ibismux/relay/relay_service_impl.cc
+++ b/ibismux/relay/relay_service_impl.cc
@@ -262,7 +262,7 @@
     self->board.put(root, tallies.value_or(Tallies{}));
   }
   self->polling = false;
-  self->next_poll = Clock::now() + self->settings.ask_interval;
+  self->next_poll = Clock::now() + self->settings.zone_poll_interval;
 }
 
 Task<Result<std::string>> RelayService::Impl::handle_report(
--- a/ibismux/relay/release_watch.cc
+++ b/ibismux/relay/release_watch.cc
@@ -62,7 +62,7 @@
 
 Task<void> ReleaseWatch::run(Self self) {
   std::optional<store::Version> since;
-  Duration pause = self->settings.first_watch_retry;
+  Duration pause = self->settings.min_watch_retry_delay;
   while (!self->stopped) {
     if (!self->enabled) {
       since.reset();
@@ -72,14 +72,14 @@
     const auto next = co_await step(self, since);
     if (next) {
       since = *next;
-      pause = self->settings.first_watch_retry;
+      pause = self->settings.min_watch_retry_delay;
       self->listener({});
       continue;
     }
     since.reset();
     self->listener(tl::unexpected<Error>(next.error()));
     co_await sleep(self, jittered(pause));
-    pause = std::min<Duration>(pause * 2, self->settings.most_watch_retry);
+    pause = std::min<Duration>(pause * 2, self->settings.max_watch_retry_delay);
   }
 }
 
