--- a/ibismux/relay/relay_service_impl.cc
+++ b/ibismux/relay/relay_service_impl.cc
@@ -98,7 +98,7 @@
 }
 
 void RelayService::Impl::applied(Generation generation) {
-  const Origin origin = ReleaseFetcher::offering();
+  const Origin origin = ReleaseFetcher::offer_origin();
   this->metrics.generation->Set(static_cast<double>(generation));
   if (origin == Origin::kPeer) {
     this->metrics.from_peers->Increment();
@@ -185,7 +185,7 @@
   // any, must be fetched.
   if (!push.head.empty() && push.generation > self->releases.generation()) {
     std::string source = peer;
-    const auto taken = co_await self->fetcher.take_from_peer(
+    const auto taken = co_await self->fetcher.apply_from_peer(
         std::move(source), std::move(push.head));
     if (!taken) {
       self->record_failure(taken.error(), "push");
@@ -203,7 +203,7 @@
 
 Task<void> RelayService::Impl::fetch(Self self, std::string peer) {
   self->metrics.fetches->Increment();
-  const auto age = co_await self->fetcher.from_peer(std::move(peer));
+  const auto age = co_await self->fetcher.fetch_from_peer(std::move(peer));
   if (!age && age.error().kind != ErrorKind::kPeerUnavailable) {
     self->record_failure(age.error(), "peer");
   }
@@ -216,7 +216,7 @@
 
 Task<void> RelayService::Impl::read_platform(Self self) {
   self->metrics.self_help_reads->Increment();
-  const auto version = co_await self->fetcher.from_platform();
+  const auto version = co_await self->fetcher.fetch_from_platform();
   if (self->stopped) {
     co_return;
   }
--- a/ibismux/relay/release_fetcher.cc
+++ b/ibismux/relay/release_fetcher.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-Task<Result<Duration>> ReleaseFetcher::from_peer(std::string peer) {
+Task<Result<Duration>> ReleaseFetcher::fetch_from_peer(std::string peer) {
   FetchRequest request;
   request.have = this->releases.generation();
   std::string source = peer;
@@ -35,7 +35,7 @@
     for (auto& [name, contents] : answer->chunks) {
       fetched.push_back(std::move(contents));
     }
-    const auto applied = co_await this->take_from_peer(
+    const auto applied = co_await this->apply_from_peer(
         std::move(peer), std::move(answer->head), std::move(fetched));
     if (!applied) {
       co_return tl::unexpected<Error>(applied.error());
@@ -44,7 +44,7 @@
   co_return answer->age;
 }
 
-Task<Result<bool>> ReleaseFetcher::take_from_peer(
+Task<Result<bool>> ReleaseFetcher::apply_from_peer(
     std::string peer,
     std::string head,
     std::vector<std::string> fetched) {
@@ -91,7 +91,7 @@
   co_return Result<void>();
 }
 
-Origin ReleaseFetcher::offering() noexcept {
+Origin ReleaseFetcher::offer_origin() noexcept {
   return current_offer_origin;
 }
 
@@ -120,7 +120,7 @@
   co_return decode_fetch_answer(*response);
 }
 
-Task<Result<store::Version>> ReleaseFetcher::from_platform() {
+Task<Result<store::Version>> ReleaseFetcher::fetch_from_platform() {
   const TimePoint deadline = Clock::now() + this->settings.platform_timeout;
   std::string collection = store::kReleases;
   std::string name = release::kHeadName;
@@ -133,7 +133,7 @@
     co_return tl::unexpected<Error>(head.error());
   }
   store::WatchBatch empty_batch;
-  const auto applied = co_await this->take_from_platform(
+  const auto applied = co_await this->apply_from_platform(
       std::move(head->value), std::move(empty_batch));
   if (!applied) {
     co_return tl::unexpected<Error>(applied.error());
@@ -141,8 +141,9 @@
   co_return head->version;
 }
 
-Task<Result<bool>> ReleaseFetcher::take_from_platform(std::string head,
-                                                      store::WatchBatch batch) {
+Task<Result<bool>> ReleaseFetcher::apply_from_platform(
+    std::string head,
+    store::WatchBatch batch) {
   const auto decoded = release::decode_head(head);
   if (decoded && decoded->generation <= this->releases.generation()) {
     co_return false;  // No reads for an outdated event.
--- a/ibismux/relay/release_fetcher.h
+++ b/ibismux/relay/release_fetcher.h
@@ -49,25 +49,25 @@
 
   /// Asks `peer` for a newer release and applies it. @return The age of the
   /// peer's knowledge of the platform.
-  [[nodiscard]] Task<Result<Duration>> from_peer(std::string peer);
+  [[nodiscard]] Task<Result<Duration>> fetch_from_peer(std::string peer);
 
   /// Applies the release of `head` after fetching missing chunks from `peer`.
   /// @param fetched Chunks that were received with the head.
   /// @return Whether the release is now in force.
-  [[nodiscard]] Task<Result<bool>> take_from_peer(
+  [[nodiscard]] Task<Result<bool>> apply_from_peer(
       std::string peer,
       std::string head,
       std::vector<std::string> fetched = {});
 
   /// Reads the head from the platform and applies its release. @return The
   /// head's version in the platform; 0 if there is none.
-  [[nodiscard]] Task<Result<store::Version>> from_platform();
+  [[nodiscard]] Task<Result<store::Version>> fetch_from_platform();
 
   /// Applies the release of `head`. Missing chunks that `batch` doesn't contain
   /// are read from the platform.
   /// @return Whether the release is now in force.
-  [[nodiscard]] Task<Result<bool>> take_from_platform(std::string head,
-                                                      store::WatchBatch batch);
+  [[nodiscard]] Task<Result<bool>> apply_from_platform(std::string head,
+                                                       store::WatchBatch batch);
 
   /// The answer to a peer's request. A head or an index chunk is accompanied by
   /// the parts under it that were written after the peer's generation.
@@ -78,7 +78,7 @@
 
   /// The origin of the release that this thread is offering to the store. The
   /// store's listener needs it, because it gets only the generation.
-  [[nodiscard]] static Origin offering() noexcept;
+  [[nodiscard]] static Origin offer_origin() noexcept;
 
  private:
   /// The parts contained in the events of a watch, by name.
--- a/ibismux/relay/release_watch.cc
+++ b/ibismux/relay/release_watch.cc
@@ -89,7 +89,7 @@
     Self self,
     std::optional<store::Version> since) {
   if (!since) {
-    co_return co_await self->fetcher.from_platform();
+    co_return co_await self->fetcher.fetch_from_platform();
   }
   std::string collection = store::kReleases;
   auto batch = co_await self->platform.watch(std::move(collection), *since,
@@ -108,7 +108,7 @@
     }
   }
   if (!head.empty()) {
-    const auto applied = co_await self->fetcher.take_from_platform(
+    const auto applied = co_await self->fetcher.apply_from_platform(
         std::move(head), std::move(*batch));
     if (!applied) {
       co_return tl::unexpected<Error>(applied.error());
--- a/tests/relay/relay_service_test.cc
+++ b/tests/relay/relay_service_test.cc
@@ -158,7 +158,7 @@
   /// Applies the release on the platform. @return Whether there was no error.
   bool apply_from_platform() {
     return boost::asio::co_spawn(this->pool.at(0),
-                                 this->fetcher.from_platform(),
+                                 this->fetcher.fetch_from_platform(),
                                  boost::asio::use_future)
         .get()
         .has_value();
@@ -168,7 +168,7 @@
   /// handler.
   void check_loop_on_change() {
     this->releases.on_change([this](Generation) {
-      this->origin = ReleaseFetcher::offering();
+      this->origin = ReleaseFetcher::offer_origin();
       auto handler_ran = std::make_shared<std::promise<void>>();
       auto handler_done = handler_ran->get_future();
       boost::asio::post(this->pool.at(0),
