--- a/apps/bench-control-sim/sim_fleet.cc
+++ b/apps/bench-control-sim/sim_fleet.cc
@@ -198,15 +198,15 @@
     this->later(kPlatformTrip, [this, index, run = this->daemons[index].run] {
       if (this->daemons[index].run == run) {
         this->daemons[index].relay->on_platform_read_done();
-        this->daemons[index].relay->on_platform_seen(this->clock);
+        this->daemons[index].relay->on_platform_answered(this->clock);
         this->apply(index, this->newest, relay::Origin::kPlatform);
       }
     });
   }
   if (commands.report_to) {
     const std::size_t to = this->index_of(*commands.report_to);
-    const relay::InForceReport report{false,
-                                      this->daemons[index].relay->subtree()};
+    const relay::InForceReport report{
+        false, this->daemons[index].relay->subtree_tallies()};
     this->send(index, to, relay::encode(report).size() + kOverhead,
                this->counted.relay_bytes,
                [this, to, report, from = this->daemons[index].name] {
@@ -216,7 +216,7 @@
   }
   if (this->daemons[index].relay->tree().watches()) {
     // A healthy watch, without its own traffic.
-    this->daemons[index].relay->on_platform_seen(this->clock);
+    this->daemons[index].relay->on_platform_answered(this->clock);
   }
 }
 
--- a/ibismux/relay/relay_engine.cc
+++ b/ibismux/relay/relay_engine.cc
@@ -112,7 +112,7 @@
   }
 }
 
-void RelayEngine::on_platform_seen(TimePoint now) {
+void RelayEngine::on_platform_answered(TimePoint now) {
   this->confirmed_at = now;
 }
 
@@ -126,7 +126,7 @@
   return std::exchange(this->commands, {});
 }
 
-Tallies RelayEngine::subtree() const {
+Tallies RelayEngine::subtree_tallies() const {
   Tallies sum;
   sum.add(this->current, 1);
   for (const auto& [child, entry] : this->reports) {
@@ -200,7 +200,7 @@
   if (!parent) {
     return;
   }
-  Tallies current_tallies = this->subtree();
+  Tallies current_tallies = this->subtree_tallies();
   if (current_tallies == this->last_report && parent == this->last_parent &&
       now < this->next_report) {
     return;
--- a/ibismux/relay/relay_engine.h
+++ b/ibismux/relay/relay_engine.h
@@ -25,7 +25,7 @@
   std::vector<std::string> pushes;   ///< Push the release in force to these.
   std::optional<std::string> fetch;  ///< Ask this peer for a newer release.
   bool read_platform = false;        ///< Read the platform's head once.
-  /// Send `subtree()` to this peer.
+  /// Send `subtree_tallies()` to this peer.
   std::optional<std::string> report_to;
 };
 
@@ -57,7 +57,7 @@
   /// fetch failed.
   void on_fetched(std::optional<Duration> age, TimePoint now);
   /// The platform answered a watch or a read with its newest head.
-  void on_platform_seen(TimePoint now);
+  void on_platform_answered(TimePoint now);
   void on_platform_read_done() noexcept { this->reading = false; }
   void on_report(const std::string& child, Tallies tallies, TimePoint now);
   /// @}
@@ -74,7 +74,7 @@
   }
   /// How many daemons of this daemon's subtree, itself included, have which
   /// generation in force.
-  [[nodiscard]] Tallies subtree() const;
+  [[nodiscard]] Tallies subtree_tallies() const;
   [[nodiscard]] Generation generation() const noexcept { return this->current; }
   /// @}
 
--- a/ibismux/relay/relay_service_impl.cc
+++ b/ibismux/relay/relay_service_impl.cc
@@ -221,7 +221,7 @@
     co_return;
   }
   if (version) {
-    self->engine.on_platform_seen(Clock::now());
+    self->engine.on_platform_answered(Clock::now());
   } else {
     self->record_failure(version.error(), "platform");
   }
@@ -230,14 +230,14 @@
 
 void RelayService::Impl::on_watch_result(const Result<void>& result) {
   if (result) {
-    this->engine.on_platform_seen(Clock::now());
+    this->engine.on_platform_answered(Clock::now());
   } else {
     this->record_failure(result.error(), "watch");
   }
 }
 
 Task<void> RelayService::Impl::send_report(Self self, std::string parent) {
-  const InForceReport report{false, self->engine.subtree()};
+  const InForceReport report{false, self->engine.subtree_tallies()};
   const TimePoint deadline = Clock::now() + self->settings.request_timeout;
   std::string payload = encode(report);
   const auto answer = co_await self->network.request(
@@ -250,7 +250,7 @@
   const TimePoint deadline = Clock::now() + self->settings.request_timeout;
   for (const std::string& root : roots) {
     if (root == self->network.self().member) {
-      self->board.put(root, self->engine.subtree());
+      self->board.put(root, self->engine.subtree_tallies());
       continue;
     }
     std::string target = root;
@@ -274,7 +274,7 @@
     co_return tl::unexpected<Error>(report.error());
   }
   if (report->question) {
-    co_return encode_in_force_answer(self->engine.subtree());
+    co_return encode_in_force_answer(self->engine.subtree_tallies());
   }
   self->engine.on_report(from.member, std::move(report->tallies), Clock::now());
   co_return std::string();
--- a/tests/relay/relay_engine_test.cc
+++ b/tests/relay/relay_engine_test.cc
@@ -172,12 +172,12 @@
     engine.on_report(engine.tree().children().front(), child, start_time());
     engine.tick(start_time());
     cr_assert(engine.take_commands().report_to == engine.tree().parent());
-    cr_assert(engine.subtree().members() == 5);
-    cr_assert(engine.subtree().reached(3) == 1);
+    cr_assert(engine.subtree_tallies().members() == 5);
+    cr_assert(engine.subtree_tallies().reached(3) == 1);
     engine.tick(start_time() + 50ms);
     cr_assert(!engine.take_commands().report_to);
     engine.tick(start_time() + 40s);  // The child's report has expired.
-    cr_assert(engine.subtree().members() == 1);
+    cr_assert(engine.subtree_tallies().members() == 1);
     return;
   }
   cr_assert_fail("no inner member");
