--- a/ibismux/daemon/daemon.cc
+++ b/ibismux/daemon/daemon.cc
@@ -161,7 +161,7 @@
         operator_server(pool, {}, operator_api.handler()) {
     this->releases.on_change([this](Generation generation) {
       this->refresh_ownership();
-      this->relay.applied(generation);
+      this->relay.on_applied(generation);
     });
     this->membership.on_view([this](const membership::MembershipView& view) {
       this->refresh_ownership();
--- a/ibismux/relay/relay_service.cc
+++ b/ibismux/relay/relay_service.cc
@@ -35,8 +35,8 @@
   this->impl->stop();
 }
 
-void RelayService::applied(Generation generation) {
-  this->impl->applied(generation);
+void RelayService::on_applied(Generation generation) {
+  this->impl->on_applied(generation);
 }
 
 InForceCount RelayService::in_force(Generation generation) const {
--- a/ibismux/relay/relay_service.h
+++ b/ibismux/relay/relay_service.h
@@ -65,7 +65,7 @@
 
   /// Must be called from the store's listener when `generation` has been put in
   /// force on this daemon. Thread safe.
-  void applied(Generation generation);
+  void on_applied(Generation generation);
 
   /// On how many daemons `generation` or a higher one is in force, according to
   /// the last answers of the zones. Each call makes the service poll the zones
--- a/ibismux/relay/relay_service_impl.cc
+++ b/ibismux/relay/relay_service_impl.cc
@@ -97,7 +97,7 @@
   });
 }
 
-void RelayService::Impl::applied(Generation generation) {
+void RelayService::Impl::on_applied(Generation generation) {
   const Origin origin = ReleaseFetcher::offer_origin();
   this->metrics.generation->Set(static_cast<double>(generation));
   if (origin == Origin::kPeer) {
@@ -192,7 +192,7 @@
     }
   }
   if (!self->stopped) {
-    // The store may be ahead of the engine, because `applied()` posts the
+    // The store may be ahead of the engine, because `on_applied()` posts the
     // notification. Generation 0 then keeps the engine from fetching.
     const Generation beyond =
         push.generation > self->releases.generation() ? push.generation : 0;
--- a/ibismux/relay/relay_service_impl.h
+++ b/ibismux/relay/relay_service_impl.h
@@ -40,7 +40,7 @@
   void register_handlers();
   void start();
   void stop();
-  void applied(Generation generation);
+  void on_applied(Generation generation);
 
   [[nodiscard]] InForceCount in_force(Generation generation) const;
   [[nodiscard]] boost::json::value status() const;
--- a/tests/support/daemon_fleet.h
+++ b/tests/support/daemon_fleet.h
@@ -45,7 +45,7 @@
                 }),
         relay({}, pool, network, platform, releases, view, registry) {
     this->releases.on_change(
-        [this](Generation generation) { this->relay.applied(generation); });
+        [this](Generation generation) { this->relay.on_applied(generation); });
     this->members.set_static_contacts(contacts);
     this->port = this->network.start().value_or(0);
     this->members.start("127.0.0.1", this->port, zone);
