--- a/ibismux/relay/in_force_board.h
+++ b/ibismux/relay/in_force_aggregator.h
@@ -1,5 +1,5 @@
-#ifndef IBISMUX_RELAY_IN_FORCE_BOARD_H_
-#define IBISMUX_RELAY_IN_FORCE_BOARD_H_
+#ifndef IBISMUX_RELAY_IN_FORCE_AGGREGATOR_H_
+#define IBISMUX_RELAY_IN_FORCE_AGGREGATOR_H_
 
 #include <algorithm>
 #include <chrono>
@@ -16,7 +16,7 @@
 
 /// Caches the tallies that each availability zone last reported, and when they
 /// were last read. Thread safe.
-class InForceBoard {
+class InForceAggregator {
  public:
   /// Records the time of the read. @return The sum over all zones.
   [[nodiscard]] Tallies read(TimePoint now) {
@@ -30,7 +30,7 @@
   }
 
   /// Whether `read()` was called within the last `kPollAfterRead`.
-  [[nodiscard]] bool wanted(TimePoint now) {
+  [[nodiscard]] bool recently_read(TimePoint now) {
     std::lock_guard lock(this->mutex);
     return now - this->last_read < kPollAfterRead;
   }
@@ -42,7 +42,7 @@
   }
 
   /// Removes the tallies of all members that are not among `roots`.
-  void keep(const std::vector<std::string>& roots) {
+  void retain(const std::vector<std::string>& roots) {
     std::lock_guard lock(this->mutex);
     std::erase_if(this->zones, [&roots](const auto& entry) {
       return std::find(roots.begin(), roots.end(), entry.first) == roots.end();
@@ -59,4 +59,4 @@
 
 }  // namespace ibismux::relay
 
-#endif  // IBISMUX_RELAY_IN_FORCE_BOARD_H_
+#endif  // IBISMUX_RELAY_IN_FORCE_AGGREGATOR_H_
--- a/ibismux/relay/relay_service_impl.cc
+++ b/ibismux/relay/relay_service_impl.cc
@@ -119,7 +119,8 @@
     self->engine.tick(now);
     self->age_ms = to_millis(self->engine.age(now));
     self->execute_commands();
-    if (!self->polling && now >= self->next_poll && self->board.wanted(now)) {
+    if (!self->polling && now >= self->next_poll &&
+        self->aggregator.recently_read(now)) {
       self->polling = true;
       boost::asio::co_spawn(self->loop, poll_zones(self),
                             boost::asio::detached);
@@ -138,7 +139,7 @@
   this->seen_revision = members->revision;
   this->engine.on_view(*members, Clock::now());
   this->rank = this->engine.tree().fleet_rank();
-  this->board.keep(this->engine.tree().roots());
+  this->aggregator.retain(this->engine.tree().roots());
   this->watch->set_active(this->engine.tree().watches());
 }
 
@@ -250,7 +251,7 @@
   const TimePoint deadline = Clock::now() + self->settings.request_timeout;
   for (const std::string& root : roots) {
     if (root == self->network.self().member) {
-      self->board.put(root, self->engine.subtree_tallies());
+      self->aggregator.put(root, self->engine.subtree_tallies());
       continue;
     }
     std::string target = root;
@@ -259,7 +260,7 @@
         std::move(target), MessageKind::kInForce, std::move(payload), deadline);
     auto tallies = response ? decode_in_force_answer(*response)
                             : Result<Tallies>(Tallies{});
-    self->board.put(root, tallies.value_or(Tallies{}));
+    self->aggregator.put(root, tallies.value_or(Tallies{}));
   }
   self->polling = false;
   self->next_poll = Clock::now() + self->settings.zone_poll_interval;
@@ -313,7 +314,7 @@
 }
 
 InForceCount RelayService::Impl::in_force(Generation generation) const {
-  const Tallies fleet = this->board.read(Clock::now());
+  const Tallies fleet = this->aggregator.read(Clock::now());
   InForceCount count;
   count.members = this->view.read()->serving();
   const std::size_t here = this->releases.generation() >= generation ? 1 : 0;
@@ -329,7 +330,7 @@
   out["platform_age_ms"] = this->age_ms.load();
   out["rank"] = this->rank.load();
   boost::json::object reached;
-  const Tallies fleet = this->board.read(Clock::now());
+  const Tallies fleet = this->aggregator.read(Clock::now());
   for (const auto& [generation, members] : fleet.counts()) {
     reached[std::to_string(generation)] = members;
   }
--- a/ibismux/relay/relay_service_impl.h
+++ b/ibismux/relay/relay_service_impl.h
@@ -13,7 +13,7 @@
 #include "ibismux/base/io_pool.h"
 #include "ibismux/base/task.h"
 #include "ibismux/peer/peer_network.h"
-#include "ibismux/relay/in_force_board.h"
+#include "ibismux/relay/in_force_aggregator.h"
 #include "ibismux/relay/relay_engine.h"
 #include "ibismux/relay/relay_metrics.h"
 #include "ibismux/relay/relay_service.h"
@@ -23,8 +23,8 @@
 
 namespace ibismux::relay {
 
-/// All state except `board`, `rank`, `age_ms` and members that are thread safe
-/// themselves must be used only on the pool's first loop.
+/// All state except `aggregator`, `rank`, `age_ms` and members that are thread
+/// safe themselves must be used only on the pool's first loop.
 class RelayService::Impl
     : public std::enable_shared_from_this<RelayService::Impl> {
  public:
@@ -79,7 +79,7 @@
   RelayEngine engine;
   std::shared_ptr<ReleaseWatch> watch;
   boost::asio::steady_timer tick_timer;
-  mutable InForceBoard board;
+  mutable InForceAggregator aggregator;
   std::atomic<std::int64_t> age_ms{0};
   std::uint64_t seen_revision = 0;
   bool polling = false;
