--- a/ibismux/relay/in_force_board.h
+++ b/ibismux/relay/in_force_aggregator.h
@@ -1,5 +1,5 @@
-#ifndef IBISMUX_RELAY_IN_FORCE_BOARD_H_
-#define IBISMUX_RELAY_IN_FORCE_BOARD_H_
+#ifndef IBISMUX_RELAY_IN_FORCE_AGGREGATOR_H_
+#define IBISMUX_RELAY_IN_FORCE_AGGREGATOR_H_
 
 #include <algorithm>
 #include <chrono>
@@ -14,14 +14,14 @@
 
 namespace ibismux::relay {
 
-/// What the zones last said is in force, and whether anybody wants to know.
-/// Thread safe.
-class InForceBoard {
+/// Caches the tallies that each availability zone last reported, and when they
+/// were last read. Thread safe.
+class InForceAggregator {
  public:
-  /// Notes that somebody asks. @return The sum over all zones.
+  /// Records the time of the read. @return The sum over all zones.
   [[nodiscard]] Tallies read(TimePoint now) {
     std::lock_guard lock(this->mutex);
-    this->asked = now;
+    this->last_read = now;
     Tallies sum;
     for (const auto& [root, tallies] : this->zones) {
       sum.add(tallies);
@@ -29,20 +29,20 @@
     return sum;
   }
 
-  /// Whether somebody asked lately.
-  [[nodiscard]] bool wanted(TimePoint now) {
+  /// Whether `read()` was called within the last `kPollAfterRead`.
+  [[nodiscard]] bool recently_read(TimePoint now) {
     std::lock_guard lock(this->mutex);
-    return now - this->asked < kInterest;
+    return now - this->last_read < kPollAfterRead;
   }
 
-  /// Replaces what `root`, the first member of a zone, said.
+  /// Replaces the tallies reported by `root`, the first member of a zone.
   void put(const std::string& root, Tallies tallies) {
     std::lock_guard lock(this->mutex);
     this->zones[root] = std::move(tallies);
   }
 
-  /// Forgets members that are no longer the first of a zone.
-  void keep(const std::vector<std::string>& roots) {
+  /// Removes the tallies of all members that are not among `roots`.
+  void retain(const std::vector<std::string>& roots) {
     std::lock_guard lock(this->mutex);
     std::erase_if(this->zones, [&roots](const auto& entry) {
       return std::find(roots.begin(), roots.end(), entry.first) == roots.end();
@@ -50,13 +50,13 @@
   }
 
  private:
-  static constexpr std::chrono::seconds kInterest{5};
+  static constexpr std::chrono::seconds kPollAfterRead{5};
 
   std::mutex mutex;
   std::map<std::string, Tallies> zones;
-  TimePoint asked = TimePoint{} - kInterest;
+  TimePoint last_read = TimePoint{} - kPollAfterRead;
 };
 
 }  // namespace ibismux::relay
 
-#endif  // IBISMUX_RELAY_IN_FORCE_BOARD_H_
+#endif  // IBISMUX_RELAY_IN_FORCE_AGGREGATOR_H_
--- a/ibismux/relay/relay_service_impl.cc
+++ b/ibismux/relay/relay_service_impl.cc
@@ -22,8 +22,8 @@
 using peer::MessageKind;
 
 constexpr auto kAwait = boost::asio::as_tuple(boost::asio::use_awaitable);
-/// A head longer than this is announced and not sent: many peers have it.
-constexpr std::size_t kMostPushedHead = 2048;
+/// A push leaves out a head longer than this, since many peers already have it.
+constexpr std::size_t kMaxPushedHeadBytes = 2048;
 
 }  // namespace
 
@@ -57,9 +57,9 @@
         const auto self = weak.lock();
         auto push = decode_push(payload);
         if (self && push) {
-          boost::asio::co_spawn(self->loop,
-                                take_push(self, from.member, std::move(*push)),
-                                boost::asio::detached);
+          boost::asio::co_spawn(
+              self->loop, handle_push(self, from.member, std::move(*push)),
+              boost::asio::detached);
         }
       });
   this->network.on_request(
@@ -73,8 +73,8 @@
       [weak](Incarnation from,
              std::string payload) -> Task<Result<std::string>> {
         const auto self = weak.lock();
-        return serve_on_loop(
-            self, answer_report(self, std::move(from), std::move(payload)));
+        return run_on_loop(
+            self, handle_report(self, std::move(from), std::move(payload)));
       });
 }
 
@@ -82,9 +82,9 @@
   const auto self = this->shared_from_this();
   boost::asio::co_spawn(this->loop, run(self), boost::asio::detached);
   this->watch->start(
-      [weak = this->weak_from_this()](const Result<void>& outcome) {
+      [weak = this->weak_from_this()](const Result<void>& result) {
         if (const auto self = weak.lock()) {
-          self->take_watch_outcome(outcome);
+          self->on_watch_result(result);
         }
       });
 }
@@ -97,8 +97,8 @@
   });
 }
 
-void RelayService::Impl::applied(Generation generation) {
-  const Origin origin = ReleaseFetcher::offering();
+void RelayService::Impl::on_applied(Generation generation) {
+  const Origin origin = ReleaseFetcher::offer_origin();
   this->metrics.generation->Set(static_cast<double>(generation));
   if (origin == Origin::kPeer) {
     this->metrics.from_peers->Increment();
@@ -108,21 +108,22 @@
   boost::asio::post(this->loop,
                     [self = this->shared_from_this(), generation, origin] {
                       self->engine.on_applied(generation, origin, Clock::now());
-                      self->carry_out();
+                      self->execute_commands();
                     });
 }
 
 Task<void> RelayService::Impl::run(Self self) {
   while (!self->stopped) {
-    self->look_at_view();
+    self->apply_view();
     const TimePoint now = Clock::now();
     self->engine.tick(now);
     self->age_ms = to_millis(self->engine.age(now));
-    self->carry_out();
-    if (!self->asking && now >= self->next_question &&
-        self->board.wanted(now)) {
-      self->asking = true;
-      boost::asio::co_spawn(self->loop, ask_zones(self), boost::asio::detached);
+    self->execute_commands();
+    if (!self->polling && now >= self->next_poll &&
+        self->aggregator.recently_read(now)) {
+      self->polling = true;
+      boost::asio::co_spawn(self->loop, poll_zones(self),
+                            boost::asio::detached);
     }
     self->tick_timer.expires_after(self->settings.tick);
     const auto [cancelled] = co_await self->tick_timer.async_wait(kAwait);
@@ -130,7 +131,7 @@
   }
 }
 
-void RelayService::Impl::look_at_view() {
+void RelayService::Impl::apply_view() {
   const auto members = this->view.read();
   if (members->revision == this->seen_revision) {
     return;
@@ -138,11 +139,11 @@
   this->seen_revision = members->revision;
   this->engine.on_view(*members, Clock::now());
   this->rank = this->engine.tree().fleet_rank();
-  this->board.keep(this->engine.tree().roots());
+  this->aggregator.retain(this->engine.tree().roots());
   this->watch->set_active(this->engine.tree().watches());
 }
 
-void RelayService::Impl::carry_out() {
+void RelayService::Impl::execute_commands() {
   RelayCommands commands = this->engine.take_commands();
   const auto self = this->shared_from_this();
   if (!commands.pushes.empty()) {
@@ -168,7 +169,7 @@
   message.generation = this->releases.generation();
   message.age = this->engine.age(Clock::now());
   message.head = this->releases.head();
-  if (message.head.size() > kMostPushedHead) {
+  if (message.head.size() > kMaxPushedHeadBytes) {
     message.head.clear();
   }
   const std::string payload = encode(message);
@@ -178,65 +179,66 @@
   }
 }
 
-Task<void> RelayService::Impl::take_push(Self self,
-                                         std::string peer,
-                                         PushMessage push) {
-  // With the head at hand one round trip for the chunks is enough, or none.
+Task<void> RelayService::Impl::handle_push(Self self,
+                                           std::string peer,
+                                           PushMessage push) {
+  // A push that contains the head saves a round trip: only missing chunks, if
+  // any, must be fetched.
   if (!push.head.empty() && push.generation > self->releases.generation()) {
     std::string source = peer;
-    const auto taken = co_await self->fetcher.take_from_peer(
+    const auto taken = co_await self->fetcher.apply_from_peer(
         std::move(source), std::move(push.head));
     if (!taken) {
-      self->note_failure(taken.error(), "push");
+      self->record_failure(taken.error(), "push");
     }
   }
   if (!self->stopped) {
-    // The store may be ahead of the engine, whose own notice of the release is
-    // posted; then this asks for nothing.
+    // The store may be ahead of the engine, because `on_applied()` posts the
+    // notification. Generation 0 then keeps the engine from fetching.
     const Generation beyond =
         push.generation > self->releases.generation() ? push.generation : 0;
     self->engine.on_push(peer, beyond, push.age, Clock::now());
-    self->carry_out();
+    self->execute_commands();
   }
 }
 
 Task<void> RelayService::Impl::fetch(Self self, std::string peer) {
   self->metrics.fetches->Increment();
-  const auto age = co_await self->fetcher.from_peer(std::move(peer));
+  const auto age = co_await self->fetcher.fetch_from_peer(std::move(peer));
   if (!age && age.error().kind != ErrorKind::kPeerUnavailable) {
-    self->note_failure(age.error(), "peer");
+    self->record_failure(age.error(), "peer");
   }
   if (!self->stopped) {
     self->engine.on_fetched(age ? std::optional<Duration>(*age) : std::nullopt,
                             Clock::now());
-    self->carry_out();
+    self->execute_commands();
   }
 }
 
 Task<void> RelayService::Impl::read_platform(Self self) {
   self->metrics.self_help_reads->Increment();
-  const auto version = co_await self->fetcher.from_platform();
+  const auto version = co_await self->fetcher.fetch_from_platform();
   if (self->stopped) {
     co_return;
   }
   if (version) {
-    self->engine.on_platform_seen(Clock::now());
+    self->engine.on_platform_answered(Clock::now());
   } else {
-    self->note_failure(version.error(), "platform");
+    self->record_failure(version.error(), "platform");
   }
   self->engine.on_platform_read_done();
 }
 
-void RelayService::Impl::take_watch_outcome(const Result<void>& outcome) {
-  if (outcome) {
-    this->engine.on_platform_seen(Clock::now());
+void RelayService::Impl::on_watch_result(const Result<void>& result) {
+  if (result) {
+    this->engine.on_platform_answered(Clock::now());
   } else {
-    this->note_failure(outcome.error(), "watch");
+    this->record_failure(result.error(), "watch");
   }
 }
 
 Task<void> RelayService::Impl::send_report(Self self, std::string parent) {
-  const InForceReport report{false, self->engine.subtree()};
+  const InForceReport report{false, self->engine.subtree_tallies()};
   const TimePoint deadline = Clock::now() + self->settings.request_timeout;
   std::string payload = encode(report);
   const auto answer = co_await self->network.request(
@@ -244,12 +246,12 @@
   static_cast<void>(answer);  // Reports are repeated.
 }
 
-Task<void> RelayService::Impl::ask_zones(Self self) {
+Task<void> RelayService::Impl::poll_zones(Self self) {
   const std::vector<std::string> roots = self->engine.tree().roots();
   const TimePoint deadline = Clock::now() + self->settings.request_timeout;
   for (const std::string& root : roots) {
     if (root == self->network.self().member) {
-      self->board.put(root, self->engine.subtree());
+      self->aggregator.put(root, self->engine.subtree_tallies());
       continue;
     }
     std::string target = root;
@@ -258,13 +260,13 @@
         std::move(target), MessageKind::kInForce, std::move(payload), deadline);
     auto tallies = response ? decode_in_force_answer(*response)
                             : Result<Tallies>(Tallies{});
-    self->board.put(root, tallies.value_or(Tallies{}));
+    self->aggregator.put(root, tallies.value_or(Tallies{}));
   }
-  self->asking = false;
-  self->next_question = Clock::now() + self->settings.ask_interval;
+  self->polling = false;
+  self->next_poll = Clock::now() + self->settings.zone_poll_interval;
 }
 
-Task<Result<std::string>> RelayService::Impl::answer_report(
+Task<Result<std::string>> RelayService::Impl::handle_report(
     Self self,
     Incarnation from,
     std::string payload) {
@@ -273,7 +275,7 @@
     co_return tl::unexpected<Error>(report.error());
   }
   if (report->question) {
-    co_return encode_in_force_answer(self->engine.subtree());
+    co_return encode_in_force_answer(self->engine.subtree_tallies());
   }
   self->engine.on_report(from.member, std::move(report->tallies), Clock::now());
   co_return std::string();
@@ -293,7 +295,7 @@
   co_return encode(self->fetcher.answer(*request, age));
 }
 
-Task<Result<std::string>> RelayService::Impl::serve_on_loop(
+Task<Result<std::string>> RelayService::Impl::run_on_loop(
     Self self,
     Task<Result<std::string>> work) {
   if (!self) {
@@ -304,14 +306,15 @@
   co_return result;
 }
 
-void RelayService::Impl::note_failure(const Error& error, const char* source) {
+void RelayService::Impl::record_failure(const Error& error,
+                                        const char* source) {
   this->metrics.rejected->Increment();
   LOG_EVERY_N(WARNING, 20) << "event=release_not_taken source=" << source
                            << " error=\"" << to_string(error) << "\"";
 }
 
 InForceCount RelayService::Impl::in_force(Generation generation) const {
-  const Tallies fleet = this->board.read(Clock::now());
+  const Tallies fleet = this->aggregator.read(Clock::now());
   InForceCount count;
   count.members = this->view.read()->serving();
   const std::size_t here = this->releases.generation() >= generation ? 1 : 0;
@@ -327,7 +330,7 @@
   out["platform_age_ms"] = this->age_ms.load();
   out["rank"] = this->rank.load();
   boost::json::object reached;
-  const Tallies fleet = this->board.read(Clock::now());
+  const Tallies fleet = this->aggregator.read(Clock::now());
   for (const auto& [generation, members] : fleet.counts()) {
     reached[std::to_string(generation)] = members;
   }
--- a/ibismux/relay/release_watch.cc
+++ b/ibismux/relay/release_watch.cc
@@ -18,7 +18,7 @@
 
 constexpr auto kAwait = boost::asio::as_tuple(boost::asio::use_awaitable);
 
-/// Between half of `pause` and the whole.
+/// A random duration between half of `pause` and `pause`.
 Duration jittered(Duration pause) {
   thread_local std::minstd_rand source{std::random_device{}()};
   std::uniform_real_distribution<double> part(0.5, 1.0);
@@ -49,7 +49,7 @@
 }
 
 void ReleaseWatch::set_active(bool active) {
-  if (!this->wanted.exchange(active) && active) {
+  if (!this->enabled.exchange(active) && active) {
     this->timer.cancel();
   }
 }
@@ -62,9 +62,9 @@
 
 Task<void> ReleaseWatch::run(Self self) {
   std::optional<store::Version> since;
-  Duration pause = self->settings.first_watch_retry;
+  Duration pause = self->settings.min_watch_retry_delay;
   while (!self->stopped) {
-    if (!self->wanted) {
+    if (!self->enabled) {
       since.reset();
       co_await sleep(self, self->settings.compare_interval);
       continue;
@@ -72,23 +72,24 @@
     const auto next = co_await step(self, since);
     if (next) {
       since = *next;
-      pause = self->settings.first_watch_retry;
+      pause = self->settings.min_watch_retry_delay;
       self->listener({});
       continue;
     }
     since.reset();
     self->listener(tl::unexpected<Error>(next.error()));
     co_await sleep(self, jittered(pause));
-    pause = std::min<Duration>(pause * 2, self->settings.most_watch_retry);
+    pause = std::min<Duration>(pause * 2, self->settings.max_watch_retry_delay);
   }
 }
 
-/// One watch, or the read that comes before the first.
+/// Runs one watch, or the initial read if `since` is empty. @return The version
+/// from which to watch next.
 Task<Result<store::Version>> ReleaseWatch::step(
     Self self,
     std::optional<store::Version> since) {
   if (!since) {
-    co_return co_await self->fetcher.from_platform();
+    co_return co_await self->fetcher.fetch_from_platform();
   }
   std::string collection = store::kReleases;
   auto batch = co_await self->platform.watch(std::move(collection), *since,
@@ -103,14 +104,14 @@
   std::string head;
   for (const auto& event : batch->events) {
     if (event.object.name == release::kHeadName && !event.removed) {
-      head = event.object.value;  // The last one counts.
+      head = event.object.value;  // The last one is the newest.
     }
   }
   if (!head.empty()) {
-    const auto taken = co_await self->fetcher.take_from_platform(
+    const auto applied = co_await self->fetcher.apply_from_platform(
         std::move(head), std::move(*batch));
-    if (!taken) {
-      co_return tl::unexpected<Error>(taken.error());
+    if (!applied) {
+      co_return tl::unexpected<Error>(applied.error());
     }
   }
   co_return version;
