--- a/ibismux/admission/adaptive_limit.cc
+++ b/ibismux/admission/adaptive_limit.cc
@@ -8,28 +8,32 @@
 
 using std::chrono::milliseconds;
 
-/// A window has at least so many ends of requests, and lasts at least so long.
+/// A window closes only after this many requests have ended and this much time
+/// has passed.
 constexpr std::uint32_t kFewestEnds = 8;
 constexpr milliseconds kShortestWindow{20};
-/// Calls may take so many times their work: some waiting keeps the leafs busy,
-/// more only adds to the latency.
+/// Highest stretch at which the limit isn't lowered. Some waiting keeps the
+/// leafs busy; more only adds latency.
 constexpr double kTolerance = 2.0;
-/// Load makes nearly all requests wait, a straggling leaf only those that meet
-/// it. So more than this share of them has to be over the tolerance, and none
-/// counts for more than so many times its work.
+/// Overload makes nearly all requests wait, whereas a straggling leaf delays
+/// only the requests that call it. The limit is therefore lowered only if more
+/// than this share of the requests is over the tolerance, and the stretch of a
+/// single request is capped.
 constexpr double kWaitingShare = 0.5;
 constexpr double kMostStretch = 5.0;
-/// The share of overloaded ends from which the limit sinks.
+/// The limit is lowered when more than this share of the requests that ended in
+/// the window failed because leafs were overloaded.
 constexpr double kOverloadedShare = 0.1;
 constexpr double kOverloadedCut = 0.85;
-/// A single window changes the limit no more than this.
+/// Lowest factor by which a single window multiplies the limit.
 constexpr double kDeepestCut = 0.7;
-/// What a request that went well adds to a limit that is half reached: one for
-/// each turn of the slots, a tenth of the limit where that is more, and a whole
-/// one if somebody was refused since.
+/// A request within the tolerance raises a limit that is in use by 1/limit, but
+/// by no less than this, and by 1 if a request was refused since the last
+/// increase.
 constexpr double kGrowth = 0.1;
-/// Only a limit that is half reached says anything by going well; the other
-/// half is room for a burst.
+/// The limit is raised only if the requests in flight reached this share of it;
+/// below that, good latency doesn't show that a higher limit would be safe. The
+/// other half is room for a burst.
 constexpr double kReached = 0.5;
 constexpr double kLeast = 1;
 constexpr double kMost = 100'000;
--- a/ibismux/admission/adaptive_limit.h
+++ b/ibismux/admission/adaptive_limit.h
@@ -7,8 +7,8 @@
 
 namespace ibismux::admission {
 
-/// How many requests at once the leafs behind a group of services can carry,
-/// found from how long their calls wait for the leafs.
+/// Adaptive concurrency limit on the requests to a group of services that share
+/// leafs. It is adjusted by how long their calls wait for the leafs.
 ///
 /// Not thread safe.
 class AdaptiveLimit {
@@ -17,34 +17,36 @@
 
   [[nodiscard]] double limit() const noexcept { return this->value; }
 
-  /// A request was let in; `in_flight` counts it.
+  /// Records that a request was admitted. @param in_flight Includes it.
   void on_admitted(std::uint32_t in_flight) noexcept;
 
-  /// A request was refused for the limit.
+  /// Records that a request was refused because the limit was reached.
   void on_refused() noexcept;
 
-  /// A request ended. @param stretch Of its calls, waiting and work over work
-  /// alone; 1 if none waited. @param in_flight What is left without it.
+  /// Records that a request ended.
+  /// @param stretch Waiting plus working time of its calls divided by their
+  /// working time; 1 if none waited.
+  /// @param in_flight Excludes the request.
   void on_finished(double stretch,
                    Duration latency,
                    std::uint32_t in_flight,
                    TimePoint now) noexcept;
 
-  /// A request ended because leafs were overloaded.
+  /// Records that a request failed because leafs were overloaded.
   void on_overloaded(std::uint32_t in_flight, TimePoint now) noexcept;
 
  private:
   void close_window(std::uint32_t in_flight, TimePoint now) noexcept;
 
   double value;
-  bool refused = false;  ///< Since a request last went well.
+  bool refused = false;  ///< A request was refused since the last increase.
   TimePoint window_start{};
   std::uint32_t finished = 0;
-  std::uint32_t waited = 0;  ///< Of the finished, those over the tolerance.
+  std::uint32_t waited = 0;  ///< Finished with a stretch over the tolerance.
   std::uint32_t overloaded = 0;
   double stretch_sum = 0;
   Duration latency_sum{};
-  std::uint32_t peak = 0;  ///< Most in flight in this window.
+  std::uint32_t peak = 0;  ///< Highest number in flight in this window.
 };
 
 }  // namespace ibismux::admission
--- a/ibismux/admission/admission.cc
+++ b/ibismux/admission/admission.cc
@@ -15,8 +15,8 @@
 
 using std::chrono::milliseconds;
 
-/// Counts kept for callers and services at once. At the largest they take
-/// about 4 KB each.
+/// Maximum number of limit groups kept for callers and services. The largest
+/// group takes about 4 KB.
 constexpr std::size_t kMostGroups = 4096;
 constexpr milliseconds kNotReadyRetry{1000};
 
@@ -30,14 +30,14 @@
   return tl::unexpected<Error>(std::move(error));
 }
 
-/// Slots taken so far by one request, given back together.
+/// The slots that one request holds; they are released together.
 class Slots {
  public:
   Slots(std::shared_ptr<const ServicePlan> plan, TimePoint since)
       : plan(std::move(plan)), since(since) {}
 
-  /// Takes a slot of the load group, then of each policy. On a refusal nothing
-  /// stays taken.
+  /// Takes a slot of the load group, then one of each policy. If any is
+  /// refused, releases those already taken and returns the refusal.
   [[nodiscard]] std::optional<tl::unexpected<Error>> take(
       std::vector<LimitUse> wanted) {
     const Duration wait =
@@ -64,13 +64,13 @@
     return this->uses;
   }
 
-  /// Gives all back: the request did not go on.
+  /// Releases all slots of a request that did not run.
   void cancel() {
     this->plan->pool->leave(this->plan->priority);
     this->release_groups(std::nullopt);
   }
 
-  /// Gives all back: the request has ended.
+  /// Releases all slots of a request that has ended.
   void finish(const RequestEnd& end, TimePoint now) {
     const Duration latency = std::max(Duration::zero(), now - this->since);
     this->plan->pool->finish(this->plan->priority, latency, end, now);
--- a/ibismux/admission/admission.h
+++ b/ibismux/admission/admission.h
@@ -16,21 +16,22 @@
 
 namespace ibismux::admission {
 
-/// Decides whether a request is admitted. A slot is taken first, then
-/// every rate rule is checked, then all are recorded with one time.
+/// Decides whether a request is admitted. The concurrency slots are taken
+/// first; then every rate rule is checked; then the request is recorded in all
+/// of them with the same timestamp.
 ///
 /// Thread safe.
 class Admission {
  public:
-  /// All references outlive the object.
+  /// All references must outlive the object.
   Admission(const RcuCell<release::Release>& releases,
             const RcuCell<membership::MembershipView>& members,
             prometheus::Registry& metrics);
   ~Admission();
 
-  /// Lets a request of `caller` to `service` in, or refuses at once:
-  /// kRateLimited or kOverloaded, both kNotRun and with `retry_after`, or
-  /// kNotFound, kNotReady.
+  /// Admits a request of `caller` to `service`, or refuses it without waiting.
+  /// Errors: kRateLimited, kOverloaded and kNotReady, all kNotRun and with
+  /// `retry_after`; kNotFound.
   [[nodiscard]] Result<Permit> admit(const std::string& service,
                                      const std::string& caller,
                                      TimePoint now);
--- a/ibismux/admission/admission_metrics.h
+++ b/ibismux/admission/admission_metrics.h
@@ -13,12 +13,12 @@
 
 namespace ibismux::admission {
 
-/// How admission decided.
+/// Outcome of an admission check.
 enum class Decision : unsigned char {
   kAdmitted,
-  kRateLimited,         ///< A rate rule.
-  kConcurrencyLimited,  ///< The concurrency of a limit policy.
-  kShed,                ///< The adaptive limit of its load group.
+  kRateLimited,         ///< Refused by a rate rule.
+  kConcurrencyLimited,  ///< Refused by the concurrency of a limit policy.
+  kShed,                ///< Refused by the adaptive limit of the load group.
 };
 
 inline constexpr std::size_t kDecisions = 4;
@@ -29,24 +29,24 @@
   virtual ~ServiceMetrics() = default;
 
   virtual void decided(Decision decision) = 0;
-  /// The state of the service's load group.
+  /// Sets the gauges for the service's load group.
   virtual void load(double limit, std::uint32_t in_flight) = 0;
 };
 
 /// The metric families of admission. Thread safe.
 class AdmissionMetrics {
  public:
-  /// @param metrics Outlives the object and all that it hands out.
+  /// @param metrics Must outlive the object and all metrics it returns.
   explicit AdmissionMetrics(prometheus::Registry& metrics);
   ~AdmissionMetrics();
 
   [[nodiscard]] std::shared_ptr<ServiceMetrics> service(const std::string& name,
                                                         Priority priority);
 
-  /// Counts the requests that `policy` refused.
+  /// The counter of requests that `policy` refused.
   [[nodiscard]] prometheus::Counter& refused_by(const std::string& policy);
 
-  /// How many counts are kept for services and callers.
+  /// Sets how many limit groups are kept for services and callers.
   void groups(std::size_t count);
 
  private:
--- a/ibismux/admission/fleet_share.h
+++ b/ibismux/admission/fleet_share.h
@@ -5,7 +5,7 @@
 
 namespace ibismux::admission {
 
-/// Where this daemon stands among those that serve, in order of their names.
+/// The position of this daemon among the serving daemons, sorted by name.
 struct FleetRank {
   std::uint32_t rank = 0;
   std::uint32_t count = 1;  ///< At least 1.
@@ -13,16 +13,17 @@
   [[nodiscard]] bool operator==(const FleetRank&) const = default;
 };
 
-/// This daemon's part of a limit of the whole fleet. The parts of all daemons
-/// that see the same members add up to the limit exactly; what doesn't divide
-/// goes to some of them, picked by `salt` so that it isn't always the first.
+/// This daemon's share of a limit that applies to the whole fleet. The shares
+/// of all daemons that see the same members add up to the limit exactly. The
+/// remainder of the division goes to daemons selected by `salt`, so that the
+/// first ones by name don't get it for every limit.
 [[nodiscard]] constexpr std::uint32_t fleet_share(std::uint32_t limit,
                                                   FleetRank self,
                                                   std::uint64_t salt) noexcept {
-  const std::uint32_t rest = limit % self.count;
-  const auto turn =
+  const std::uint32_t remainder = limit % self.count;
+  const auto position =
       static_cast<std::uint32_t>((self.rank + salt % self.count) % self.count);
-  return limit / self.count + (turn < rest ? 1 : 0);
+  return limit / self.count + (position < remainder ? 1 : 0);
 }
 
 }  // namespace ibismux::admission
--- a/ibismux/admission/group_table.cc
+++ b/ibismux/admission/group_table.cc
@@ -6,13 +6,14 @@
 
 namespace {
 
-/// How many of the longest unused are looked at to find an idle one.
+/// How many of the least recently used groups are checked to find an idle one.
 constexpr int kEvictionTries = 4;
-/// Stands for every key that finds the table full; no key of a request is it,
-/// since a line break can't stand in a header field.
+/// Replaces every key that finds the table full. It can't collide with the key
+/// of a request, because a header field can't contain a line break.
 constexpr std::string_view kOverflowKey = "\n";
 
-/// Tells apart policies that have the same name but need other counters.
+/// Includes the rate rules, so that policies of the same name that need
+/// different counters get different keys.
 std::string full_key(const release::LimitPolicy& policy, std::string_view key) {
   std::string full = policy.name;
   for (const release::RateRule& rule : policy.rates) {
@@ -63,7 +64,7 @@
   auto entry = stripe.entries.end();
   for (int i = 0; i < kEvictionTries && entry != stripe.entries.begin(); ++i) {
     --entry;
-    // A second owner is a request in flight or a service's plan.
+    // Any other owner is a request in flight or a service's plan.
     if (entry->group.use_count() == 1 && entry->group->idle(now)) {
       stripe.by_key.erase(entry->key);
       stripe.entries.erase(entry);
--- a/ibismux/admission/group_table.h
+++ b/ibismux/admission/group_table.h
@@ -14,17 +14,18 @@
 
 namespace ibismux::admission {
 
-/// The groups by key, at most so many: the one that was used longest ago goes
-/// first, but only once it is idle. While the table is full of busy ones, new
-/// keys of a policy share one overflow group. So a flood of made-up caller
-/// names neither grows the memory nor frees a busy caller from its limit.
+/// Bounded table of limit groups by policy and key. When a part of the table is
+/// full, one of its least recently used groups is evicted if it is idle. If
+/// none of the candidates is idle, new keys of a policy share one overflow
+/// group. A flood of made-up caller names thus neither grows memory without
+/// bound nor resets the counts of a caller that is being limited.
 ///
 /// Thread safe.
 class GroupTable {
  public:
   explicit GroupTable(std::size_t most) : most_a_stripe(most / kStripes + 1) {}
 
-  /// The group of `policy` for `key`, made if there is none.
+  /// The group of `policy` for `key`; creates it if there is none.
   [[nodiscard]] std::shared_ptr<LimitGroup>
   get(const release::LimitPolicy& policy, std::string_view key, TimePoint now);
 
@@ -39,11 +40,12 @@
   };
   struct Stripe {
     std::mutex mutex;
-    std::list<Entry> entries;  ///< Used last first.
+    std::list<Entry> entries;  ///< Most recently used first.
     std::unordered_map<std::string_view, std::list<Entry>::iterator> by_key;
   };
 
-  /// Precondition: the stripe is locked and full.
+  /// Evicts an idle group; returns false if it found none. Precondition: the
+  /// stripe is locked and full.
   static bool evict_one(Stripe& stripe, TimePoint now);
 
   std::size_t most_a_stripe;
--- a/ibismux/admission/limit_group.cc
+++ b/ibismux/admission/limit_group.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The newest hold counts for one part in this many.
+/// Weight of the newest hold time in the moving average, as 1 in this many.
 constexpr int kHoldMemory = 8;
 
 }  // namespace
@@ -48,8 +48,8 @@
 }
 
 RateVerdict check_and_record(std::span<const LimitUse> uses, TimePoint now) {
-  // Locked in one order everywhere; two requests that share two groups would
-  // otherwise wait for each other for ever.
+  // The groups are always locked in the same order; otherwise two requests that
+  // share two groups could deadlock.
   std::vector<LimitGroup*> groups;
   groups.reserve(uses.size());
   for (const LimitUse& use : uses) {
--- a/ibismux/admission/limit_group.h
+++ b/ibismux/admission/limit_group.h
@@ -13,32 +13,34 @@
 
 namespace ibismux::admission {
 
-/// This daemon's part of one limit policy.
+/// This daemon's share of one limit policy.
 struct LimitShare {
   bool limits_concurrency = false;
   std::uint32_t concurrency = 0;
-  std::vector<std::uint32_t> rates;  ///< In order of the policy's rules.
+  std::vector<std::uint32_t> rates;  ///< In the order of the policy's rules.
 };
 
-/// The counts of one policy for one service or one caller.
+/// The counters of one limit policy for one service or one caller.
 ///
 /// Thread safe.
 class LimitGroup {
  public:
-  /// @param policy Gives the windows, and how large the limits about are.
+  /// @param policy Gives the windows, and the size of each limit, by which the
+  /// kind of counter is chosen.
   explicit LimitGroup(const release::LimitPolicy& policy);
 
   /// @name Concurrency
   /// @{
   [[nodiscard]] bool take_slot(const LimitShare& share);
-  /// @param held How long the slot was held; absent where it was never used.
+  /// @param hold_time How long the slot was held; absent if the request did not
+  /// run.
   void give_slot_back(std::optional<Duration> held);
-  /// About how long until a slot is free.
+  /// Estimated time until a slot is free.
   [[nodiscard]] Duration slot_wait();
   /// @}
 
-  /// Whether nothing of it matters any more: no slot is held and no window
-  /// holds a request.
+  /// Whether no slot is held and no rate window holds a request, so that the
+  /// group can be deleted without losing state.
   [[nodiscard]] bool idle(TimePoint now);
 
  private:
@@ -52,25 +54,26 @@
   std::vector<std::unique_ptr<RateMeter>> meters;
 };
 
-/// A group that a request counts in, and its limits here.
+/// A group that counts a request, and this daemon's share of its limits.
 struct LimitUse {
   std::shared_ptr<LimitGroup> group;
   std::shared_ptr<const LimitShare> share;
 };
 
-/// What the rate rules of a request say together.
+/// Combined result of all rate rules that apply to a request.
 struct RateVerdict {
-  Duration wait{};          ///< Zero if the request was recorded.
-  std::size_t binding = 0;  ///< Else which use makes it wait longest.
+  Duration wait{};  ///< Zero if the request was recorded.
+  std::size_t binding =
+      0;  ///< Otherwise the index of the use with the longest wait.
 };
 
-/// Asks every rate rule of every group; only if all let the request through it
-/// is recorded, in all of them with the one time `now`. Thread safe.
+/// Checks every rate rule of every group. If all of them admit the request,
+/// records it in all of them with the same time `now`. Thread safe.
 ///
-/// Recording in one rule before another has agreed goes wrong twice: a refusal
-/// by the later rule has used up the earlier one for nothing, and where a
-/// caller waits in between, the earlier one holds a time at which nothing was
-/// sent, which leaves its window too soon.
+/// Checking and recording rule by rule has two faults. If a later rule refuses,
+/// the earlier ones have counted a request that is not sent. If the caller
+/// waits between two rules, the earlier one holds a timestamp from before the
+/// request was sent, which leaves its window too soon.
 [[nodiscard]] RateVerdict check_and_record(std::span<const LimitUse> uses,
                                            TimePoint now);
 
--- a/ibismux/admission/load_pool.cc
+++ b/ibismux/admission/load_pool.cc
@@ -11,16 +11,18 @@
 
 using std::chrono::milliseconds;
 
-constexpr int kLatencyMemory = 16;
-/// Refusals fade by half in this time.
+/// Weight of the newest latency in the moving average, as 1 in this many.
+constexpr int kLatencySamples = 16;
+/// Half-life of the decaying count of refusals.
 constexpr std::chrono::duration<double> kRefusalHalfLife{0.5};
 constexpr milliseconds kShortestWait{20};
 constexpr milliseconds kLongestWait{5000};
 
-/// From so many times the usual latency on, a failed request was a slow one.
+/// A failed request counts as slow if it took more than this multiple of the
+/// mean latency.
 constexpr double kSlowFailure = 2.0;
 
-/// Whether a request that ended so may have waited for the leafs.
+/// Whether a request that failed with `error` may have waited for the leafs.
 bool may_be_slow(ErrorKind error) noexcept {
   return error == ErrorKind::kDeadlineExceeded ||
          error == ErrorKind::kCoverageTooLow;
@@ -67,13 +69,13 @@
   } else if (end.error.has_value()) {
     const double stretch = stretch_of(own, latency);
     if (may_be_slow(*end.error) && stretch > kSlowFailure) {
-      // A quick failure says nothing of the load. Counted as a request that
-      // went well, it would raise the limit while leafs are down.
+      // A quick failure tells nothing about the load. If it were counted as a
+      // success, it would raise the limit while leafs are down.
       own.limit.on_finished(stretch, latency, left, now);
     }
   } else if (const auto stretch = end.leaf_wait.stretch()) {
     own.usual_latency += own.usual_latency > Duration::zero()
-                             ? (latency - own.usual_latency) / kLatencyMemory
+                             ? (latency - own.usual_latency) / kLatencySamples
                              : latency;
     own.limit.on_finished(*stretch, latency, left, now);
   }
@@ -109,8 +111,8 @@
       std::max(Duration::zero(), now - own.refused_at);
   own.refused = own.refused * std::exp2(-age / kRefusalHalfLife) + 1;
   own.refused_at = now;
-  // The slots turn over once in the usual latency; those refused before take
-  // their turn first.
+  // All slots become free once within about the mean latency; requests refused
+  // earlier are expected to retry first.
   const double turns = 1 + own.refused / own.limit.limit();
   const Duration wait = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(own.usual_latency) * turns);
--- a/ibismux/admission/load_pool.h
+++ b/ibismux/admission/load_pool.h
@@ -12,28 +12,30 @@
 
 namespace ibismux::admission {
 
-/// The requests in flight to services that share leafs, under adaptive limits
-/// with strict priority.
+/// Limits the requests in flight to services that share leafs, by adaptive
+/// limits with strict priority.
 ///
-/// Each class has its own limit, on the requests of itself and of the classes
-/// that go before it, and learns it from how long its own calls waited for
-/// leafs. The leafs' queues serve the higher class first, so under overload it
-/// is the lowest that waits, and which is shed; nothing that a lower class has
-/// in flight can refuse a higher one. One limit for all classes would shed the
-/// higher ones too, in each short burst of their own.
+/// Each priority class has its own adaptive limit, which applies to the
+/// requests in flight of the class itself and of all higher classes, and is
+/// adjusted by how long the class's own calls wait for leafs. The leafs' queues
+/// serve higher classes first, so under overload the lowest class waits and is
+/// shed. Requests in flight of a lower class never cause a higher one to be
+/// refused. A single limit for all classes would shed the higher ones too, in
+/// each short burst of their own requests.
 ///
 /// Thread safe.
 class LoadPool {
  public:
   explicit LoadPool(double initial_limit);
 
-  /// Takes a slot. @return Zero if one was free, else about when to come back.
+  /// Takes a slot. @return Zero if one was free, otherwise the estimated time
+  /// after which to retry.
   [[nodiscard]] Duration enter(Priority priority, TimePoint now);
 
-  /// Gives a slot back that was never used.
+  /// Releases the slot of a request that did not run.
   void leave(Priority priority);
 
-  /// Gives a slot back and learns from how the request went.
+  /// Releases a slot and adjusts the limit by how the request ended.
   void finish(Priority priority,
               Duration latency,
               const RequestEnd& end,
@@ -47,7 +49,8 @@
     AdaptiveLimit limit;
     std::uint32_t in_flight = 0;
     Duration usual_latency{};  ///< Moving average.
-    /// Refused a moment ago, fading: who comes back soon competes with them.
+    /// Number of recent refusals, decaying exponentially. A refused request
+    /// that retries soon competes with them.
     double refused = 0;
     TimePoint refused_at{};
   };
@@ -55,9 +58,10 @@
   [[nodiscard]] Class& at(Priority priority) noexcept {
     return this->classes[static_cast<std::size_t>(priority)];
   }
-  /// Of the class and of those before it.
+  /// The requests in flight of the class and of all higher classes.
   [[nodiscard]] std::uint32_t in_flight_up_to(Priority priority) const noexcept;
-  /// A failed request's latency over the usual one of those that go well.
+  /// The latency of a failed request divided by the mean latency of successful
+  /// ones; 1 if that isn't known yet.
   [[nodiscard]] static double stretch_of(const Class& own,
                                          Duration latency) noexcept;
   [[nodiscard]] static Duration wait(Class& own, TimePoint now) noexcept;
--- a/ibismux/admission/permit.h
+++ b/ibismux/admission/permit.h
@@ -9,10 +9,12 @@
 
 namespace ibismux::admission {
 
-/// A slot held while a request runs; given back on destruction. Move-only.
+/// Holds the slots of an admitted request while it runs; releases them on
+/// destruction, which counts as cancelled unless `finish` was called.
+/// Move-only.
 class Permit {
  public:
-  /// How a request ended, and when.
+  /// Called once, with how the request ended and when.
   using Release = std::function<void(const RequestEnd&, TimePoint)>;
 
   explicit Permit(Release release) : release(std::move(release)) {}
@@ -25,8 +27,8 @@
     }
   }
 
-  /// Gives the slot back and tells the limiter how the request went, from which
-  /// it learns how much the service can carry. Precondition: not called yet.
+  /// Releases the slots and reports how the request ended, by which the
+  /// adaptive limit is adjusted. Precondition: not called before.
   void finish(const RequestEnd& end, TimePoint now) {
     std::exchange(this->release, nullptr)(end, now);
   }
--- a/ibismux/admission/plan_table.cc
+++ b/ibismux/admission/plan_table.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// A load group starts with room for so many times the declared slots, and
-/// finds its own limit from there.
+/// The adaptive limit of a load group starts at this multiple of this daemon's
+/// share of the declared slots.
 constexpr double kInitialDepth = 4;
 constexpr double kLeastInitial = 4;
 
@@ -60,7 +60,8 @@
   return found == set.services.end() ? nullptr : found->second.get();
 }
 
-/// Gives each load group the pool that its services had, with what it learnt.
+/// Assigns each load group the limiter that its services had before, so that
+/// its learned limits are kept.
 class PoolChooser {
  public:
   PoolChooser(const PlanSet& old, FleetRank rank) : old(old), rank(rank) {}
@@ -70,8 +71,9 @@
     std::shared_ptr<LoadPool>& pool = this->pools[group.name];
     if (pool == nullptr) {
       const ServicePlan* before = plan_in(this->old, service);
-      // Of a group that has split only one half may keep the pool: in one pool
-      // the halves would shed each other, though they share no leaf any more.
+      // If a group has split, only one part keeps the limiter. If the parts
+      // shared it, load on one would shed requests of the other, although they
+      // no longer share a leaf.
       pool = before != nullptr && this->taken.insert(before->pool.get()).second
                  ? before->pool
                  : std::make_shared<LoadPool>(initial_limit(group, this->rank));
--- a/ibismux/admission/plan_table.h
+++ b/ibismux/admission/plan_table.h
@@ -17,15 +17,15 @@
 
 namespace ibismux::admission {
 
-/// One policy as a service uses it.
+/// A limit policy as applied to one service.
 struct PolicyPlan {
   std::shared_ptr<const release::LimitPolicy> policy;
   std::shared_ptr<const LimitShare> share;
-  std::shared_ptr<LimitGroup> group;  ///< Null where each caller has its own.
-  prometheus::Counter* refused = nullptr;  ///< Counts what it refuses.
+  std::shared_ptr<LimitGroup> group;       ///< Null if each caller has its own.
+  prometheus::Counter* refused = nullptr;  ///< Requests that it refused.
 };
 
-/// All that a request to one service is checked against.
+/// Everything that a request to one service is checked against.
 struct ServicePlan {
   Priority priority = Priority::kCatalogue;
   std::vector<PolicyPlan> policies;
@@ -33,7 +33,8 @@
   std::shared_ptr<ServiceMetrics> metrics;
 };
 
-/// The plans of one release for one place in the fleet. Immutable.
+/// The plans of all services for one release and one membership view.
+/// Immutable.
 struct PlanSet {
   std::shared_ptr<const release::Release> release;
   std::shared_ptr<const membership::MembershipView> members;
@@ -41,13 +42,13 @@
       services;
 };
 
-/// Works the plans out anew when the release or the members change, and keeps
-/// what was learnt and counted.
+/// Rebuilds the plans when the release or the members change. Adaptive limits,
+/// counters and metrics carry over.
 ///
 /// Thread safe.
 class PlanTable {
  public:
-  /// All outlive the table.
+  /// All references must outlive the table.
   PlanTable(const RcuCell<release::Release>& releases,
             const RcuCell<membership::MembershipView>& members,
             GroupTable& groups,
@@ -63,7 +64,7 @@
   GroupTable& groups;
   AdmissionMetrics& metrics;
   RcuCell<PlanSet> sets;
-  std::mutex mutex;  ///< Held by the one that rebuilds.
+  std::mutex mutex;  ///< Serializes rebuilds.
 };
 
 }  // namespace ibismux::admission
--- a/ibismux/admission/pool_finder.cc
+++ b/ibismux/admission/pool_finder.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Disjoint sets of leafs.
+/// Disjoint sets of leafs (union-find).
 class LeafSets {
  public:
   explicit LeafSets(std::size_t leafs) : parents(leafs) {
@@ -38,7 +38,7 @@
   return service.snapshots.empty() ? nullptr : service.snapshots.front().get();
 }
 
-/// Some leaf of `service`; nothing if it has none.
+/// The first leaf of the newest snapshot of `service`; absent if there is none.
 std::optional<std::uint32_t> any_leaf(const release::ServiceView& service) {
   const release::SnapshotView* snapshot = newest(service);
   if (snapshot != nullptr) {
--- a/ibismux/admission/pool_finder.h
+++ b/ibismux/admission/pool_finder.h
@@ -9,15 +9,17 @@
 
 namespace ibismux::admission {
 
-/// The services that reach the same leafs, directly or through others, load one
-/// another and go under one limit; those that don't must not shed each other.
+/// Services that share leafs, directly or through other services, compete for
+/// capacity and are limited together. Services that share none are limited
+/// separately, so that load on one doesn't shed requests of another.
 struct LoadGroup {
-  std::string name;  ///< Of its first service in order of names.
-  std::uint32_t slots =
-      0;  ///< That the tightest shard of its widest service has.
+  std::string name;  ///< The alphabetically first service of the group.
+  /// Each service's capacity is that of its shard with the fewest slots; this
+  /// is the highest capacity of the group's services.
+  std::uint32_t slots = 0;
 };
 
-/// The group of each service, by the service's name.
+/// Maps each service's name to its group.
 [[nodiscard]] std::map<std::string, LoadGroup> find_load_groups(
     const release::Release& release);
 
--- a/ibismux/admission/rate_meter.h
+++ b/ibismux/admission/rate_meter.h
@@ -8,29 +8,30 @@
 
 namespace ibismux::admission {
 
-/// Counts requests in a sliding window. Asking and recording are two steps, so
-/// that several rules can all be asked before any of them records.
+/// Counts requests in a sliding window. Checking and recording are separate, so
+/// that several rules can be checked before the request is recorded in any.
 ///
-/// Not thread safe; the group that owns it locks.
+/// Not thread safe; guarded by the mutex of the limit group that owns it.
 class RateMeter {
  public:
   virtual ~RateMeter() = default;
 
-  /// How long until one more request keeps within `limit` a window; zero if it
-  /// does now. A limit of 0 gives the whole window.
+  /// Time until one more request stays within `limit` per window; zero if it
+  /// does now. For a limit of 0, the whole window.
   [[nodiscard]] virtual Duration wait(std::uint32_t limit, TimePoint now) = 0;
 
-  /// Counts a request at `now`.
+  /// Records a request at `now`.
   virtual void record(TimePoint now) = 0;
 
-  /// Whether the window holds nothing.
+  /// Whether the window holds no request.
   [[nodiscard]] virtual bool idle(TimePoint now) = 0;
 };
 
-/// The largest limit that is counted exactly, at 8 bytes a request.
+/// The largest limit that is counted exactly, at 8 bytes per request.
 inline constexpr std::uint32_t kLargestExactLimit = 256;
 
-/// An exact log for a small limit, a bucketed counter for a large one.
+/// Creates an exact log if `limit` is at most `kLargestExactLimit`, otherwise a
+/// bucketed counter.
 [[nodiscard]] std::unique_ptr<RateMeter> make_rate_meter(std::uint32_t limit,
                                                          Duration window);
 
--- a/ibismux/admission/request_end.h
+++ b/ibismux/admission/request_end.h
@@ -8,12 +8,13 @@
 
 namespace ibismux::admission {
 
-/// How an admitted request ended: what admission learns from.
+/// How an admitted request ended; input to the adaptive limit.
 struct RequestEnd {
   /// The error, if it failed.
   std::optional<ErrorKind> error;
-  /// What its calls to leafs showed; of none where it made none, as a repeat
-  /// that is answered from its record. That says nothing about the load.
+  /// Waiting times of its calls to leafs. Empty if it made none, as a repeated
+  /// request that is answered from its record; such a request tells nothing
+  /// about the load.
   LeafWait leaf_wait;
 };
 
--- a/ibismux/admission/sliding_log.cc
+++ b/ibismux/admission/sliding_log.cc
@@ -12,14 +12,15 @@
   if (this->times.size() < limit) {
     return Duration::zero();
   }
-  // The limit may have sunk below what is logged: then several must leave.
+  // More requests than `limit` may be logged, because the limit can be lowered;
+  // then several have to leave the window first.
   const std::size_t leaving = this->times.size() - limit;
   return this->times[leaving] + this->window - now;
 }
 
 void SlidingLog::record(TimePoint now) {
-  // Threads read the clock before they get the lock, so times may come out of
-  // order; an unsorted log would let entries outlive their window.
+  // Threads read the clock before they lock, so times may arrive out of order.
+  // In an unsorted log, entries would be kept after they have left the window.
   this->times.push_back(
       this->times.empty() ? now : std::max(now, this->times.back()));
 }
--- a/ibismux/admission/sliding_log.h
+++ b/ibismux/admission/sliding_log.h
@@ -7,8 +7,8 @@
 
 namespace ibismux::admission {
 
-/// Keeps the time of each request in the window: exact, and its memory grows
-/// with the limit.
+/// Keeps the timestamp of each request in the window. Exact; memory grows with
+/// the limit.
 class SlidingLog final : public RateMeter {
  public:
   explicit SlidingLog(Duration window) : window(window) {}
@@ -21,7 +21,7 @@
   void trim(TimePoint now);
 
   Duration window;
-  std::deque<TimePoint> times;  ///< Rising.
+  std::deque<TimePoint> times;  ///< In ascending order.
 };
 
 }  // namespace ibismux::admission
--- a/ibismux/admission/window_counter.cc
+++ b/ibismux/admission/window_counter.cc
@@ -7,7 +7,8 @@
 namespace ibismux::admission {
 
 WindowCounter::WindowCounter(Duration window)
-    // Rounded up: buckets that are too narrow would forget too early.
+    // Rounded up, because narrower buckets would together cover less than the
+    // window and drop requests too early.
     : width(std::max<Duration>(Duration(1),
                                (window + Duration(kBuckets - 1)) / kBuckets)) {}
 
@@ -27,7 +28,7 @@
       break;
     }
   }
-  // The bucket leaves the ring when the one a ring later begins.
+  // The bucket leaves the ring when the bucket that reuses its place begins.
   const Duration leaves = (bucket + kRing) * this->width;
   return std::max(Duration(1), leaves - now.time_since_epoch());
 }
--- a/ibismux/admission/window_counter.h
+++ b/ibismux/admission/window_counter.h
@@ -8,9 +8,9 @@
 
 namespace ibismux::admission {
 
-/// Counts requests in buckets of a sixty-fourth of the window, in fixed memory.
-/// A bucket counts until its last instant has left the window, so the limit is
-/// never passed; at most a sixty-fourth of it goes unused.
+/// Counts requests in buckets of 1/64 of the window, in fixed memory. A bucket
+/// counts until its end has left the window, so the limit is never exceeded; a
+/// request counts for up to 1/64 of the window too long.
 class WindowCounter final : public RateMeter {
  public:
   explicit WindowCounter(Duration window);
@@ -21,18 +21,19 @@
 
  private:
   static constexpr std::int64_t kBuckets = 64;
-  /// One more than a window holds: the oldest may be partly in it.
+  /// One more than a window holds, because the oldest bucket may be partly in
+  /// it.
   static constexpr std::int64_t kRing = kBuckets + 1;
 
   [[nodiscard]] std::uint32_t& at(std::int64_t bucket) noexcept {
-    // Bucket numbers are negative near the clock's epoch.
+    // Bucket numbers can be negative near the clock's epoch.
     return this
         ->counts[static_cast<std::size_t>((bucket % kRing + kRing) % kRing)];
   }
   void advance(TimePoint now);
 
   Duration width;
-  std::int64_t newest = 0;  ///< Bucket number of the newest in the ring.
+  std::int64_t newest = 0;  ///< Number of the newest bucket in the ring.
   std::uint64_t total = 0;
   std::array<std::uint32_t, kRing> counts{};
 };
--- a/ibismux/backend/leaf_connection.cc
+++ b/ibismux/backend/leaf_connection.cc
@@ -39,8 +39,8 @@
   const Result<http::Response> response =
       co_await keep->exchange(message, give_up);
   LeafReply reply = interpret(request, response);
-  // Whatever follows a foreign answer on this connection would be foreign too:
-  // the stream is out of step with the calls.
+  // After an answer to another call, the answers on this connection no longer
+  // match its calls, so later ones would be wrong too.
   if (reply.signal == LeafSignal::kForeign) {
     keep->close();
   }
--- a/ibismux/backend/leaf_connection.h
+++ b/ibismux/backend/leaf_connection.h
@@ -15,9 +15,9 @@
 
 namespace ibismux::backend {
 
-/// One connection to one leaf; one call at a time.
+/// A connection to one leaf; carries one call at a time.
 ///
-/// Belongs to the event loop it is used from; not thread safe.
+/// Must be used from a single event loop. Not thread safe.
 class LeafConnection {
  public:
   LeafConnection(std::string address, std::uint16_t port);
@@ -25,32 +25,35 @@
   LeafConnection(const LeafConnection&) = delete;
   LeafConnection& operator=(const LeafConnection&) = delete;
 
-  /// Connects, and asks for the leaf's health so that the leaf proves that it
-  /// took the connection. Precondition: not open.
+  /// Connects and requests the leaf's health, which confirms that the leaf
+  /// serves the connection. Precondition: not open.
   ///
-  /// A leaf at its connection limit accepts and closes. Without the proof, the
-  /// first call would be written into such a connection, and a reservation's
-  /// outcome would be unknown although it never ran.
+  /// A leaf at its connection limit accepts a connection and then closes it.
+  /// Without the health request, the first call would be written to such a
+  /// connection, and a reservation's outcome would be unknown although it never
+  /// ran.
   /// Errors, all kNotRun: kLeafUnavailable, kDeadlineExceeded.
   [[nodiscard]] Task<Result<LeafHealth>> open(TimePoint deadline);
 
-  /// Writes `request` and waits for its answer until `give_up`, which may lie
-  /// after the request's deadline: the leaf's own word that it stopped keeps
-  /// the connection. Precondition: usable.
-  /// Errors: see `interpret`.
+  /// Sends `request` and waits for its answer until `answer_deadline`. This may
+  /// be later than the request's deadline, because the connection stays usable
+  /// if the leaf itself answers that the deadline has passed. Precondition:
+  /// usable. Errors: see `interpret`.
   [[nodiscard]] Task<LeafReply> call(LeafRequest request, TimePoint give_up);
 
-  /// Asks the leaf to stop the call `id`, which runs on another connection.
+  /// Requests cancellation of the call `id`, which runs on another connection.
   /// Precondition: usable. Errors: kLeafUnavailable, kDeadlineExceeded.
   [[nodiscard]] Task<Result<void>> cancel(CallId id, TimePoint deadline);
 
-  /// Asks the leaf how it is. Precondition: usable. Errors: as for `cancel`.
+  /// Requests the leaf's health. Precondition: usable. Errors: as for `cancel`.
   [[nodiscard]] Task<Result<LeafHealth>> health(TimePoint deadline);
 
-  /// Open, between calls, and with no stray byte of an earlier answer waiting.
+  /// Whether the connection is open, no call is in progress and no unread byte
+  /// of an earlier answer is pending.
   [[nodiscard]] bool usable() const noexcept;
 
-  /// Closes at once; a call in progress ends with kCancelled.
+  /// Closes the connection immediately; a call in progress ends with
+  /// kCancelled.
   void close() noexcept;
 
  private:
--- a/ibismux/backend/leaf_health.h
+++ b/ibismux/backend/leaf_health.h
@@ -5,8 +5,8 @@
 
 namespace ibismux::backend {
 
-/// What a leaf says of itself. It lags or misleads, so it is a hint at most:
-/// what calls show goes before it.
+/// Health as reported by the leaf itself. It can be outdated or wrong, so it is
+/// only a hint; the outcomes of calls take precedence.
 struct LeafHealth {
   enum class State : unsigned char { kUnknown, kReady, kWarming, kDraining };
 
@@ -14,8 +14,8 @@
   double load = 0;
 };
 
-/// Reads the body of a health answer; kUnknown where it makes no sense. Thread
-/// safe.
+/// Parses the body of a health answer; the state is kUnknown if the body is
+/// malformed or names no known state. Thread safe.
 [[nodiscard]] LeafHealth parse_health(const std::string& body) noexcept;
 
 }  // namespace ibismux::backend
--- a/ibismux/backend/leaf_protocol.cc
+++ b/ibismux/backend/leaf_protocol.cc
@@ -15,7 +15,7 @@
 constexpr int kServiceUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 
-/// What a leaf's status says, before the execution is settled.
+/// Meaning of an HTTP status, regardless of whether the call may have run.
 struct Verdict {
   LeafSignal signal;
   ErrorKind kind;
@@ -56,8 +56,8 @@
   return std::chrono::seconds(seconds);
 }
 
-/// A not idempotent call that may have run must not be told apart by how it
-/// failed: each such end is "outcome unknown", so that nobody sends it again.
+/// Replaces the error kind of a non-idempotent call that may have run by
+/// kOutcomeUnknown, whatever the failure, so that the call is not retried.
 Error settle(const LeafRequest& request, Error error) {
   if (!request.idempotent && error.execution == Execution::kUnknown) {
     error.kind = ErrorKind::kOutcomeUnknown;
@@ -128,8 +128,8 @@
   if (!response) {
     return failed_exchange(request, response.error());
   }
-  // A refusal need not echo its call, but one that names another call is late
-  // or misdirected: its "not run" would be a false promise about this one.
+  // A refusal need not echo the call id. If it names another call, it is late
+  // or misdirected, and its "not-run" doesn't apply to this call.
   const std::string_view named = response->field("X-Call-Id");
   if (!named.empty() && named != to_string(request.id)) {
     return foreign(request);
--- a/ibismux/backend/leaf_protocol.h
+++ b/ibismux/backend/leaf_protocol.h
@@ -11,21 +11,22 @@
 
 namespace ibismux::backend {
 
-/// The HTTP form of `request` (docs/LEAFS.md), with what remains at `now`.
-/// Thread safe.
+/// Encodes `request` as an HTTP request (docs/LEAFS.md), with the time that
+/// remains at `now` until its deadline. Thread safe.
 [[nodiscard]] std::shared_ptr<const http::Request> encode_call(
     const LeafRequest& request,
     TimePoint now);
 
-/// The cancel call for `id`. Thread safe.
+/// Encodes the cancel call for `id`. Thread safe.
 [[nodiscard]] std::shared_ptr<const http::Request> encode_cancel(
     const CallId& id);
 
-/// What `response`, or the lack of one, means for `request`. Thread safe.
+/// Interprets `response`, or the error that replaces it, as the reply to
+/// `request`. Thread safe.
 ///
-/// An answer that does not echo the call is never used. A reservation whose
-/// request may have left, and which no `X-Execution: not-run` settles, is
-/// kOutcomeUnknown whatever else is known.
+/// An answer that doesn't echo the identifiers of the call is never used. A
+/// failed reservation whose request may have been sent is kOutcomeUnknown,
+/// whatever the failure, unless the leaf answered `X-Execution: not-run`.
 [[nodiscard]] LeafReply interpret(const LeafRequest& request,
                                   const Result<http::Response>& response);
 
--- a/ibismux/backend/leaf_reply.h
+++ b/ibismux/backend/leaf_reply.h
@@ -9,7 +9,7 @@
 
 namespace ibismux::backend {
 
-/// What one exchange shows of the leaf and its connection.
+/// What the outcome of one call tells about the leaf and its connection.
 enum class LeafSignal : unsigned char {
   kAnswered,
   kOverloaded,
@@ -17,23 +17,23 @@
   kDraining,
   kSnapshotGone,
   kCancelled,
-  kLeafTimeout,  ///< The leaf itself says that the deadline passed.
-  kFailed,       ///< Any other status: the leaf answers, but with an error.
+  kLeafTimeout,  ///< The leaf answered that the deadline has passed.
+  kFailed,       ///< The leaf answered with any other error status.
   kLost,         ///< The connection broke, or the answer was truncated.
-  kSilent,       ///< No answer within the time allowed.
-  kForeign,      ///< The answer of another call; dropped.
+  kSilent,       ///< No answer within the allowed time.
+  kForeign,      ///< The answer belongs to another call; it is dropped.
 };
 
 inline constexpr std::size_t kLeafSignals = 11;
 
-/// Label of metrics and logs. Thread safe.
+/// The label for metrics and logs. Thread safe.
 [[nodiscard]] std::string_view to_string(LeafSignal signal) noexcept;
 
 /// How one call to a leaf ended.
 struct LeafReply {
   Result<std::string> body;
   LeafSignal signal = LeafSignal::kAnswered;
-  bool leaving = false;  ///< The leaf wants no new work.
+  bool leaving = false;  ///< The leaf asks for no new calls.
 };
 
 }  // namespace ibismux::backend
--- a/ibismux/backend/leaf_request.h
+++ b/ibismux/backend/leaf_request.h
@@ -10,16 +10,16 @@
 
 namespace ibismux::backend {
 
-/// One call as it is written to a leaf.
+/// The content of one call to a leaf.
 struct LeafRequest {
   CallId id;
-  /// A query may run twice without harm; a reservation may not.
+  /// True for a query, false for a reservation, which must not run twice.
   bool idempotent = true;
   std::string snapshot;
   std::string shard;
   Priority priority = Priority::kCatalogue;
-  TimePoint deadline;  ///< Sent as the time that remains.
-  std::string key;     ///< Reservations: the idempotency key, or empty.
+  TimePoint deadline;  ///< Sent as the remaining time.
+  std::string key;     ///< Idempotency key of a reservation, or empty.
   std::shared_ptr<const std::string> body;
 };
 
--- a/ibismux/concurrency/aimd_limit.cc
+++ b/ibismux/concurrency/aimd_limit.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kDecrease = 0.7;
-/// The limit rises by one after this many times `limit` answers.
+/// The limit rises by 1 after this multiple of `limit` answers.
 constexpr double kRoundsToRise = 2.0;
 
 }  // namespace
--- a/ibismux/concurrency/aimd_limit.h
+++ b/ibismux/concurrency/aimd_limit.h
@@ -6,11 +6,11 @@
 
 namespace ibismux::concurrency {
 
-/// Additive increase, multiplicative decrease, between 1 and a ceiling.
+/// Additive increase, multiplicative decrease (AIMD), between 1 and a ceiling.
 ///
-/// Starts at the declared slots. A refusal for load lowers it once for all
-/// calls that were sent before it was lowered last, so that one burst of
-/// refusals counts once. It rises only while it is what holds calls back.
+/// Starts at the declared slots. A refusal because of overload lowers the limit
+/// unless it was lowered less than the mean leaf time ago, so that one burst of
+/// refusals lowers it once. It rises only while the calls in flight reach it.
 class AimdLimit : public ConcurrencyLimit {
  public:
   /// @param slots The leaf's declared slots; at least 1.
@@ -36,7 +36,7 @@
   double ceiling;
   double current;
   MovingAverage typical{kAverageOver};  ///< Of leaf times.
-  TimePoint lowered_at{};               ///< When the limit was lowered last.
+  TimePoint lowered_at{};               ///< When the limit was last lowered.
 };
 
 }  // namespace ibismux::concurrency
--- a/ibismux/concurrency/concurrency_limit.h
+++ b/ibismux/concurrency/concurrency_limit.h
@@ -7,29 +7,33 @@
 
 namespace ibismux::concurrency {
 
-/// How many calls a leaf gets at once, learned from how they end.
+/// Adaptive limit on the concurrent calls to a leaf, adjusted by how the calls
+/// end.
 ///
-/// Holds no clock. Not thread safe.
+/// Doesn't read a clock; methods take the time where they need it. Not thread
+/// safe.
 class ConcurrencyLimit {
  public:
   virtual ~ConcurrencyLimit() = default;
 
-  /// The most calls at once; at least 1.
+  /// Maximum number of concurrent calls; at least 1.
   [[nodiscard]] virtual double limit() const noexcept = 0;
 
-  /// A call was answered after `leaf_time`.
-  /// @param in_flight Calls that ran when it ended, itself included.
+  /// Records a call that was answered after `leaf_time`.
+  /// @param in_flight Calls running when it ended, including itself.
   virtual void on_answer(Duration leaf_time,
                          std::size_t in_flight,
                          TimePoint now) = 0;
 
-  /// The leaf refused a call for load.
+  /// Records that the leaf refused a call because it was overloaded.
   virtual void on_overload(TimePoint now) = 0;
 
-  /// The leaf is cold, came back, or its connections broke: start from 1.
+  /// Restarts the limit at 1. Called when the leaf is cold or came back, or its
+  /// connections broke.
   virtual void on_cold() = 0;
 
-  /// The operator declared another number of slots.
+  /// Sets the number of slots that the operator declared. A change restarts the
+  /// limit at that number.
   virtual void declare(std::size_t slots) = 0;
 };
 
--- a/tests/admission/adaptive_limit_test.cc
+++ b/tests/admission/adaptive_limit_test.cc
@@ -16,7 +16,8 @@
   return TimePoint(std::chrono::hours(1)) + milliseconds(ms);
 }
 
-/// Ten requests at once that take `stretch` times the usual, from `ms` on.
+/// Runs ten concurrent requests with the stretch `stretch`, which end 30 ms
+/// after `ms`.
 void run_ten(AdaptiveLimit& limit, double stretch, int ms) {
   limit.on_admitted(10);
   for (std::uint32_t i = 0; i < 10; ++i) {
@@ -24,14 +25,15 @@
   }
 }
 
-/// Of a request whose calls took `stretch` times their work.
+/// The leaf wait of a request whose calls took `stretch` times their work.
 LeafWait waited(int stretch) {
   LeafWait wait;
   wait.add(kUsual * (stretch - 1), kUsual);
   return wait;
 }
 
-/// Bench lookups, three at once, a hundred times; all end alike.
+/// Runs a hundred batches of three concurrent bench lookups that all end with
+/// `error` after `latency`.
 void run_threes(LoadPool& pool,
                 std::optional<ErrorKind> error,
                 Duration latency) {
@@ -45,7 +47,7 @@
   }
 }
 
-Test(adaptive_limit, it_grows_while_requests_go_well_and_it_is_in_reach) {
+Test(adaptive_limit, grows_while_in_use_and_requests_do_not_wait) {
   AdaptiveLimit limit(10);
   run_ten(limit, 1.1, 0);
   cr_assert(limit.limit() > 10.7);
@@ -54,7 +56,7 @@
   cr_assert(unused.limit() == 100);
 }
 
-Test(adaptive_limit, waiting_requests_lower_it_but_not_at_once_to_nothing) {
+Test(adaptive_limit, waiting_requests_lower_it_by_a_bounded_step) {
   AdaptiveLimit limit(10);
   run_ten(limit, 50, 0);
   cr_assert(limit.limit() >= 7 && limit.limit() < 10);
@@ -64,8 +66,9 @@
   cr_assert(limit.limit() == 1);
 }
 
-// Failure: queries are refused as overloaded while leafs have room.
-Test(adaptive_limit, stragglers_are_no_overload) {
+// Failure: a few slow leafs lower the limit, and queries are refused as
+// overloaded although the other leafs have capacity.
+Test(adaptive_limit, stragglers_do_not_lower_the_limit) {
   AdaptiveLimit limit(10);
   for (int i = 0; i < 1000; ++i) {
     limit.on_admitted(10);
@@ -74,8 +77,9 @@
   cr_assert(limit.limit() >= 10);
 }
 
-// Failure: requests are shed for minutes after an overload has ended.
-Test(adaptive_limit, refusals_make_it_come_back_fast) {
+// Failure: the limit rises too slowly after an overload has ended, and requests
+// are shed for minutes.
+Test(adaptive_limit, recovers_fast_after_refusals) {
   AdaptiveLimit limit(1);
   for (int i = 0; i < 5; ++i) {
     limit.on_refused();
@@ -85,7 +89,8 @@
   cr_assert(limit.limit() == 6);
 }
 
-// Failure: bench lookups are shed while editors overload the leafs.
+// Failure: bench lookups are shed because editors, a lower class, overload the
+// leafs.
 Test(load_pool, a_slow_lower_class_does_not_lower_the_limit_of_a_higher_one) {
   LoadPool pool(8);
   for (int i = 0; i < 200; ++i) {
@@ -104,7 +109,8 @@
   cr_assert(pool.enter(Priority::kEditor, at(3000)) > Duration::zero());
 }
 
-// Failure: while leafs are down, requests are let in only to fail.
+// Failure: while leafs are down, quick failures raise the limit, and requests
+// are admitted that can only fail.
 Test(load_pool, quick_failures_do_not_raise_a_limit) {
   LoadPool pool(4);
   run_threes(pool, ErrorKind::kCoverageTooLow, milliseconds(1));
--- a/tests/admission/admission_test.cc
+++ b/tests/admission/admission_test.cc
@@ -39,7 +39,7 @@
   return release;
 }
 
-/// Of a request whose calls waited for nothing.
+/// The leaf wait of a request whose only call did not wait.
 LeafWait idle_leafs() {
   LeafWait wait;
   wait.add(Duration::zero(), milliseconds(10));
@@ -61,7 +61,7 @@
         members(fleet(size)),
         admission(this->releases, this->members, this->metrics) {}
 
-  /// Asks until refused; the permits are kept.
+  /// Sends requests until one is refused; keeps the permits and the refusal.
   std::size_t fill(const std::string& service, TimePoint now) {
     std::size_t count = 0;
     while (count < 10'000) {
@@ -104,7 +104,7 @@
   return policy;
 }
 
-Test(admission, a_rate_is_kept_and_the_refusal_tells_the_wait) {
+Test(admission, enforces_a_rate_and_refuses_with_the_time_to_retry) {
   auto release = two_leafs();
   add_service(*release, "a", Priority::kBench, 0,
               {rate_policy(release::LimitPolicy::Scope::kService, 3)});
@@ -133,7 +133,7 @@
   cr_assert(door.fill("a", at(1)) == 1);
 }
 
-Test(admission, the_policy_that_binds_is_counted) {
+Test(admission, counts_a_refusal_for_the_policy_that_refused) {
   auto release = two_leafs();
   release::LimitPolicy wide =
       rate_policy(release::LimitPolicy::Scope::kService, 10);
@@ -158,7 +158,7 @@
   cr_assert(others == 0);
 }
 
-Test(admission, callers_are_counted_apart) {
+Test(admission, each_caller_has_its_own_limit) {
   auto release = two_leafs();
   add_service(*release, "a", Priority::kBench, 0,
               {rate_policy(release::LimitPolicy::Scope::kCaller, 1)});
@@ -168,7 +168,7 @@
   cr_assert(door.admission.admit("a", "y", at(1)).has_value());
 }
 
-Test(admission, a_permit_that_is_dropped_gives_its_slot_back) {
+Test(admission, a_destroyed_permit_releases_its_slot) {
   auto release = two_leafs();
   release::LimitPolicy policy;
   policy.name = "p";
@@ -180,7 +180,7 @@
   cr_assert(door.fill("a", at(1)) == 1);
 }
 
-Test(admission, a_lower_class_never_keeps_a_higher_one_out) {
+Test(admission, a_lower_class_never_causes_refusals_of_a_higher_one) {
   auto release = two_leafs();
   add_service(*release, "desk", Priority::kEditor, 0);
   add_service(*release, "bay", Priority::kDiagnostic, 0);
@@ -203,8 +203,9 @@
   cr_assert(door.fill("portal", at(0)) > 0);
 }
 
-// Failure: a service is shed though its leafs are idle.
-Test(admission, a_service_that_moves_to_other_leafs_is_shed_apart) {
+// Failure: a service that no longer shares leafs with an overloaded one keeps
+// sharing its limit, and is shed although its own leafs are idle.
+Test(admission, a_service_that_moves_to_other_leafs_gets_its_own_limit) {
   auto together = two_leafs();
   add_service(*together, "desk", Priority::kEditor, 0);
   add_service(*together, "portal", Priority::kEditor, 0);
@@ -234,8 +235,9 @@
   cr_assert(door.fill("a", at(5000)) > first);
 }
 
-// Failure: a service's queries are shed while its leafs are idle.
-Test(admission, quick_key_lookups_do_not_make_queries_seem_slow) {
+// Failure: requests answered without a leaf call lower the latency that queries
+// are compared with, and queries are shed although the leafs are idle.
+Test(admission, requests_without_leaf_calls_do_not_make_queries_seem_slow) {
   auto release = two_leafs();
   add_service(*release, "a", Priority::kBench, 0);
   Door door(release);
@@ -251,8 +253,9 @@
   }
 }
 
-// Failure: queries are refused as overloaded while their leafs have room.
-Test(admission, a_slow_leaf_is_no_overload) {
+// Failure: one slow leaf lowers the limit, and queries are refused as
+// overloaded although the other leafs have capacity.
+Test(admission, one_slow_leaf_does_not_lower_the_limit) {
   auto release = two_leafs();
   add_service(*release, "a", Priority::kBench, 0);
   Door door(release);
@@ -272,8 +275,9 @@
   }
 }
 
-// Failure: under overload nobody is shed, and requests end at their deadlines.
-Test(admission, a_daemon_that_starts_in_an_overload_sheds) {
+// Failure: a daemon that has never seen its leafs idle takes the overload for
+// normal; no request is shed, and requests run into their deadlines.
+Test(admission, a_daemon_that_starts_during_overload_sheds) {
   auto release = two_leafs();
   add_service(*release, "a", Priority::kBench, 0);
   Door door(release);
@@ -287,7 +291,8 @@
   cr_assert(door.permits.size() < first / 2);
 }
 
-Test(admission, unknown_services_and_an_unready_daemon_are_told_apart) {
+Test(admission,
+     unknown_service_and_missing_configuration_have_different_errors) {
   Door door(two_leafs());
   cr_assert(door.admission.admit("x", "c", at(0)).error().kind ==
             ErrorKind::kNotFound);
--- a/tests/admission/limit_group_test.cc
+++ b/tests/admission/limit_group_test.cc
@@ -31,8 +31,9 @@
   return {std::make_shared<LimitGroup>(policy), share};
 }
 
-// Failure: fewer requests get through than the limits allow.
-Test(limit_group, a_refusal_uses_nothing_up) {
+// Failure: requests refused by one rule count against another, and fewer
+// requests are admitted than the limits allow.
+Test(limit_group, a_refused_request_is_not_counted) {
   const LimitUse tight = use_of(policy_of({{1, milliseconds(100)}}));
   const LimitUse wide = use_of(policy_of({{3, milliseconds(60'000)}}));
   const LimitUse both[] = {wide, tight};
@@ -45,14 +46,14 @@
   cr_assert(check_and_record({&wide, 1}, at(62)).wait > Duration::zero());
 }
 
-Test(limit_group, the_longest_wait_is_told) {
+Test(limit_group, returns_the_longest_wait) {
   const LimitUse use =
       use_of(policy_of({{1, milliseconds(100)}, {1, milliseconds(5000)}}));
   cr_assert(check_and_record({&use, 1}, at(0)).wait == Duration::zero());
   cr_assert(check_and_record({&use, 1}, at(50)).wait == milliseconds(4950));
 }
 
-Test(limit_group, one_group_named_twice_counts_once) {
+Test(limit_group, a_group_listed_twice_counts_once) {
   const LimitUse use = use_of(policy_of({{2, milliseconds(100)}}));
   const LimitUse twice[] = {use, use};
   cr_assert(check_and_record(twice, at(0)).wait == Duration::zero());
@@ -60,7 +61,7 @@
   cr_assert(check_and_record(twice, at(2)).wait > Duration::zero());
 }
 
-Test(limit_group, parts_of_a_limit_add_up_to_it) {
+Test(limit_group, fleet_shares_add_up_to_the_limit) {
   for (const std::uint32_t limit : {1U, 3U, 7U, 10U, 1000U}) {
     for (std::uint32_t count = 1; count <= 9; ++count) {
       for (const std::uint64_t salt : {0ULL, 5ULL, ~0ULL}) {
@@ -74,8 +75,9 @@
   }
 }
 
-// Failure: made-up names fill the memory, or free a caller from its limit.
-Test(group_table, a_flood_of_names_neither_grows_it_nor_frees_a_caller) {
+// Failure: made-up caller names exhaust the memory, or evict the counts of a
+// caller so that its limit no longer applies.
+Test(group_table, a_flood_of_names_is_bounded_and_lifts_no_limit) {
   const release::LimitPolicy policy = policy_of({{1, milliseconds(1000)}});
   auto share = std::make_shared<LimitShare>();
   share->rates.push_back(1);
@@ -94,7 +96,7 @@
   }
 }
 
-Test(group_table, idle_groups_make_room) {
+Test(group_table, idle_groups_are_evicted) {
   const release::LimitPolicy policy = policy_of({{1, milliseconds(1000)}});
   auto share = std::make_shared<LimitShare>();
   share->rates.push_back(1);
--- a/tests/admission/rate_meter_test.cc
+++ b/tests/admission/rate_meter_test.cc
@@ -17,7 +17,7 @@
   return TimePoint(milliseconds(ms));
 }
 
-/// The most of `times` that any window holds.
+/// The largest number of `times` in any window.
 std::size_t most_in_a_window(const std::vector<TimePoint>& times,
                              Duration window) {
   std::size_t most = 0;
@@ -31,7 +31,7 @@
   return most;
 }
 
-/// Offers requests at random times; gives those that the meter let through.
+/// Sends requests at random times; returns the times of the admitted ones.
 std::vector<TimePoint> admitted_by(RateMeter& meter, std::uint32_t limit) {
   pcg32 random(11);
   std::vector<TimePoint> times;
@@ -46,12 +46,12 @@
   return times;
 }
 
-Test(rate_meter, an_exact_log_lets_the_limit_through_and_no_more) {
+Test(rate_meter, an_exact_log_admits_exactly_the_limit) {
   SlidingLog log(milliseconds(1000));
   cr_assert(most_in_a_window(admitted_by(log, 40), milliseconds(1000)) == 40);
 }
 
-Test(rate_meter, a_counter_never_passes_the_limit_and_comes_near_it) {
+Test(rate_meter, a_counter_stays_close_below_the_limit) {
   WindowCounter counter(milliseconds(1000));
   const std::size_t most =
       most_in_a_window(admitted_by(counter, 300), milliseconds(1000));
@@ -59,7 +59,7 @@
   cr_assert(most >= 290);
 }
 
-Test(rate_meter, the_wait_is_until_the_oldest_leaves) {
+Test(rate_meter, the_wait_ends_when_enough_requests_have_left_the_window) {
   SlidingLog log(milliseconds(1000));
   log.record(at(100));
   log.record(at(300));
@@ -68,7 +68,7 @@
   cr_assert(log.wait(2, at(1100)) == Duration::zero());
 }
 
-Test(rate_meter, after_its_wait_a_counter_lets_one_through) {
+Test(rate_meter, a_counter_admits_a_request_after_its_wait) {
   WindowCounter counter(milliseconds(1000));
   for (int i = 0; i < 300; ++i) {
     counter.record(at(i));
@@ -79,15 +79,16 @@
   cr_assert(counter.wait(300, at(500) + wait) == Duration::zero());
 }
 
-Test(rate_meter, a_limit_of_nothing_lets_nothing_through) {
+Test(rate_meter, a_limit_of_zero_admits_nothing) {
   SlidingLog log(milliseconds(1000));
   WindowCounter counter(milliseconds(1000));
   cr_assert(log.wait(0, at(5)) == milliseconds(1000));
   cr_assert(counter.wait(0, at(5)) >= milliseconds(1000));
 }
 
-// Failure: a request is let through though the window is full.
-Test(rate_meter, times_out_of_order_count_for_their_window) {
+// Failure: a timestamp older than the newest one leaves the window early, and a
+// request is admitted although the window is full.
+Test(rate_meter, timestamps_out_of_order_count_for_the_whole_window) {
   SlidingLog log(milliseconds(100));
   log.record(at(50));
   log.record(at(40));
--- a/tests/backend/leaf_protocol_test.cc
+++ b/tests/backend/leaf_protocol_test.cc
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-Test(leaf_protocol, request_says_what_remains) {
+Test(leaf_protocol, request_carries_the_remaining_time) {
   const auto message =
       encode_call(request(false), TimePoint() + std::chrono::milliseconds(60));
   cr_assert(message->target == "/v1/reserve");
@@ -65,13 +65,14 @@
   cr_assert(message->body == "torque");
 }
 
-Test(leaf_protocol, answer_that_echoes_is_used) {
+Test(leaf_protocol, answer_that_echoes_the_call_is_used) {
   const LeafReply reply = interpret(request(true), answer(200));
   cr_assert(reply.body.has_value());
   cr_assert(*reply.body == "hits");
 }
 
-// Failure: hits of another caller's query in an answer.
+// Failure: a caller gets the hits of another caller's query, because an answer
+// is taken for that of another call.
 Test(leaf_protocol, answer_of_another_call_is_dropped) {
   for (const char* name : {"X-Call-Id", "X-Snapshot", "X-Shard"}) {
     http::Response response = answer(200);
@@ -85,8 +86,9 @@
   }
 }
 
-// Failure: "not run" for a reservation that ran.
-Test(leaf_protocol, refusal_of_another_call_is_no_promise) {
+// Failure: a late refusal of another call is taken for this one, and a
+// reservation that ran is reported as not run.
+Test(leaf_protocol, refusal_of_another_call_does_not_prove_not_run) {
   http::Response response = refusal(429, "overloaded");
   response.add("X-Call-Id", to_string(CallId{7, 8}));
   const LeafReply reply = interpret(request(false), response);
@@ -95,7 +97,7 @@
   cr_assert(reply.body.error().execution == Execution::kUnknown);
 }
 
-Test(leaf_protocol, refusals_keep_the_promise_they_carry) {
+Test(leaf_protocol, refusals_marked_not_run_are_reported_as_not_run) {
   for (const RefusalCase& row : kRefusals) {
     const LeafReply promised =
         interpret(request(false), refusal(row.status, row.reason));
@@ -105,8 +107,9 @@
   }
 }
 
-// Failure: a reservation runs twice.
-Test(leaf_protocol, reservation_without_promise_is_outcome_unknown) {
+// Failure: a reservation that may have run is retried after an ambiguous
+// failure, and runs twice.
+Test(leaf_protocol, reservation_not_marked_not_run_is_outcome_unknown) {
   for (const int status : {429, 499, 500, 503, 504}) {
     const LeafReply reply = interpret(request(false), answer(status));
     cr_assert(reply.body.error().kind == ErrorKind::kOutcomeUnknown);
@@ -117,7 +120,7 @@
   cr_assert(lost.body.error().kind == ErrorKind::kOutcomeUnknown);
 }
 
-Test(leaf_protocol, leaving_is_seen_on_any_answer) {
+Test(leaf_protocol, leaving_is_read_from_any_answer) {
   http::Response response = answer(200);
   response.add("X-Leaving", "1");
   cr_assert(interpret(request(true), response).leaving);
@@ -125,7 +128,7 @@
   cr_assert(!interpret(request(true), answer(200)).leaving);
 }
 
-Test(leaf_protocol, health_that_makes_no_sense_is_unknown) {
+Test(leaf_protocol, malformed_health_is_unknown) {
   cr_assert(parse_health(R"({"state":"warming","load":0.5})").state ==
             LeafHealth::State::kWarming);
   for (const char* odd : {"", "[]", "{\"state\":1}", "{\"state\":\"fine\"}"}) {
