--- a/ibismux/admission/admission.cc
+++ b/ibismux/admission/admission.cc
@@ -17,7 +17,7 @@
 
 /// Maximum number of limit groups kept for callers and services. The largest
 /// group takes about 4 KB.
-constexpr std::size_t kMostGroups = 4096;
+constexpr std::size_t kMaxGroups = 4096;
 constexpr milliseconds kNotReadyRetry{1000};
 
 tl::unexpected<Error> refuse(ErrorKind kind,
@@ -33,27 +33,27 @@
 /// The slots that one request holds; they are released together.
 class Slots {
  public:
-  Slots(std::shared_ptr<const ServicePlan> plan, TimePoint since)
-      : plan(std::move(plan)), since(since) {}
+  Slots(std::shared_ptr<const ServicePlan> plan, TimePoint start)
+      : plan(std::move(plan)), start(start) {}
 
   /// Takes a slot of the load group, then one of each policy. If any is
   /// refused, releases those already taken and returns the refusal.
   [[nodiscard]] std::optional<tl::unexpected<Error>> take(
       std::vector<LimitUse> wanted) {
     const Duration wait =
-        this->plan->pool->enter(this->plan->priority, this->since);
+        this->plan->pool->enter(this->plan->priority, this->start);
     if (wait > Duration::zero()) {
-      this->plan->metrics->decided(Decision::kShed);
+      this->plan->metrics->record_decision(Decision::kShed);
       return refuse(ErrorKind::kOverloaded, "shed: leafs are overloaded", wait);
     }
     for (LimitUse& use : wanted) {
       if (!use.group->take_slot(*use.share)) {
-        const Duration until = use.group->slot_wait();
-        this->plan->policies[this->uses.size()].refused->Increment();
+        const Duration retry_after = use.group->estimated_slot_wait();
+        this->plan->policies[this->uses.size()].refusal_counter->Increment();
         this->cancel();
-        this->plan->metrics->decided(Decision::kConcurrencyLimited);
+        this->plan->metrics->record_decision(Decision::kConcurrencyLimited);
         return refuse(ErrorKind::kRateLimited, "too many requests at once",
-                      until);
+                      retry_after);
       }
       this->uses.push_back(std::move(use));
     }
@@ -72,20 +72,20 @@
 
   /// Releases all slots of a request that has ended.
   void finish(const RequestEnd& end, TimePoint now) {
-    const Duration latency = std::max(Duration::zero(), now - this->since);
+    const Duration latency = std::max(Duration::zero(), now - this->start);
     this->plan->pool->finish(this->plan->priority, latency, end, now);
     this->release_groups(latency);
   }
 
  private:
-  void release_groups(std::optional<Duration> held) {
+  void release_groups(std::optional<Duration> hold_time) {
     for (const LimitUse& use : std::exchange(this->uses, {})) {
-      use.group->give_slot_back(held);
+      use.group->release_slot(hold_time);
     }
   }
 
   std::shared_ptr<const ServicePlan> plan;
-  TimePoint since;
+  TimePoint start;
   std::vector<LimitUse> uses;
 };
 
@@ -97,7 +97,7 @@
        const RcuCell<membership::MembershipView>& members,
        prometheus::Registry& metrics)
       : metrics(metrics),
-        groups(kMostGroups),
+        groups(kMaxGroups),
         plans(releases, members, this->groups, this->metrics) {}
 
   Result<Permit> admit(const std::string& service,
@@ -133,13 +133,13 @@
   const RateVerdict rates = check_and_record(slots->held(), now);
   if (rates.wait > Duration::zero()) {
     slots->cancel();
-    plan->policies[rates.binding].refused->Increment();
-    plan->metrics->decided(Decision::kRateLimited);
+    plan->policies[rates.binding].refusal_counter->Increment();
+    plan->metrics->record_decision(Decision::kRateLimited);
     return refuse(ErrorKind::kRateLimited, "too many requests", rates.wait);
   }
-  plan->metrics->decided(Decision::kAdmitted);
-  plan->metrics->load(plan->pool->current_limit(plan->priority),
-                      plan->pool->in_flight());
+  plan->metrics->record_decision(Decision::kAdmitted);
+  plan->metrics->set_load(plan->pool->current_limit(plan->priority),
+                          plan->pool->in_flight());
   return Permit(
       [slots](const RequestEnd& end, TimePoint at) { slots->finish(end, at); });
 }
--- a/ibismux/admission/admission_metrics.cc
+++ b/ibismux/admission/admission_metrics.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::array<const char*, kDecisions> kDecisionNames = {
+constexpr std::array<const char*, kDecisionCount> kDecisionNames = {
     "admitted", "rate_limited", "concurrency_limited", "shed"};
 
 }  // namespace
@@ -47,15 +47,15 @@
 
 namespace {
 
-class FamilyMetrics final : public ServiceMetrics {
+class PrometheusServiceMetrics final : public ServiceMetrics {
  public:
   template <class Families>
-  FamilyMetrics(Families& families,
-                const std::string& service,
-                Priority priority)
+  PrometheusServiceMetrics(Families& families,
+                           const std::string& service,
+                           Priority priority)
       : limit(families.limits.Add({{"service", service}})),
-        flights(families.in_flight.Add({{"service", service}})) {
-    for (std::size_t i = 0; i < kDecisions; ++i) {
+        in_flight_gauge(families.in_flight.Add({{"service", service}})) {
+    for (std::size_t i = 0; i < kDecisionCount; ++i) {
       this->counters[i] =
           &families.decisions.Add({{"service", service},
                                    {"class", std::string(to_string(priority))},
@@ -63,19 +63,19 @@
     }
   }
 
-  void decided(Decision decision) override {
+  void record_decision(Decision decision) override {
     this->counters[static_cast<std::size_t>(decision)]->Increment();
   }
 
-  void load(double limit, std::uint32_t in_flight) override {
+  void set_load(double limit, std::uint32_t in_flight) override {
     this->limit.Set(limit);
-    this->flights.Set(in_flight);
+    this->in_flight_gauge.Set(in_flight);
   }
 
  private:
-  std::array<prometheus::Counter*, kDecisions> counters{};
+  std::array<prometheus::Counter*, kDecisionCount> counters{};
   prometheus::Gauge& limit;
-  prometheus::Gauge& flights;
+  prometheus::Gauge& in_flight_gauge;
 };
 
 }  // namespace
@@ -87,14 +87,16 @@
 std::shared_ptr<ServiceMetrics> AdmissionMetrics::service(
     const std::string& name,
     Priority priority) {
-  return std::make_shared<FamilyMetrics>(*this->families, name, priority);
+  return std::make_shared<PrometheusServiceMetrics>(*this->families, name,
+                                                    priority);
 }
 
-prometheus::Counter& AdmissionMetrics::refused_by(const std::string& policy) {
+prometheus::Counter& AdmissionMetrics::refusal_counter(
+    const std::string& policy) {
   return this->families->refusals.Add({{"policy", policy}});
 }
 
-void AdmissionMetrics::groups(std::size_t count) {
+void AdmissionMetrics::set_group_count(std::size_t count) {
   this->families->group_count.Set(static_cast<double>(count));
 }
 
--- a/ibismux/admission/admission_metrics.h
+++ b/ibismux/admission/admission_metrics.h
@@ -21,16 +21,16 @@
   kShed,                ///< Refused by the adaptive limit of the load group.
 };
 
-inline constexpr std::size_t kDecisions = 4;
+inline constexpr std::size_t kDecisionCount = 4;
 
 /// The metrics of one service. Thread safe.
 class ServiceMetrics {
  public:
   virtual ~ServiceMetrics() = default;
 
-  virtual void decided(Decision decision) = 0;
+  virtual void record_decision(Decision decision) = 0;
   /// Sets the gauges for the service's load group.
-  virtual void load(double limit, std::uint32_t in_flight) = 0;
+  virtual void set_load(double limit, std::uint32_t in_flight) = 0;
 };
 
 /// The metric families of admission. Thread safe.
@@ -44,10 +44,10 @@
                                                         Priority priority);
 
   /// The counter of requests that `policy` refused.
-  [[nodiscard]] prometheus::Counter& refused_by(const std::string& policy);
+  [[nodiscard]] prometheus::Counter& refusal_counter(const std::string& policy);
 
   /// Sets how many limit groups are kept for services and callers.
-  void groups(std::size_t count);
+  void set_group_count(std::size_t count);
 
  private:
   struct Families;
--- a/ibismux/admission/group_table.cc
+++ b/ibismux/admission/group_table.cc
@@ -7,7 +7,7 @@
 namespace {
 
 /// How many of the least recently used groups are checked to find an idle one.
-constexpr int kEvictionTries = 4;
+constexpr int kMaxEvictionCandidates = 4;
 /// Replaces every key that finds the table full. It can't collide with the key
 /// of a request, because a header field can't contain a line break.
 constexpr std::string_view kOverflowKey = "\n";
@@ -40,7 +40,7 @@
                           found->second);
     return found->second->group;
   }
-  if (stripe.entries.size() >= this->most_a_stripe && key != kOverflowKey &&
+  if (stripe.entries.size() >= this->max_per_stripe && key != kOverflowKey &&
       !evict_one(stripe, now)) {
     lock.unlock();
     return this->get(policy, kOverflowKey, now);
@@ -62,7 +62,8 @@
 
 bool GroupTable::evict_one(Stripe& stripe, TimePoint now) {
   auto entry = stripe.entries.end();
-  for (int i = 0; i < kEvictionTries && entry != stripe.entries.begin(); ++i) {
+  for (int i = 0; i < kMaxEvictionCandidates && entry != stripe.entries.begin();
+       ++i) {
     --entry;
     // Any other owner is a request in flight or a service's plan.
     if (entry->group.use_count() == 1 && entry->group->idle(now)) {
--- a/ibismux/admission/group_table.h
+++ b/ibismux/admission/group_table.h
@@ -23,7 +23,8 @@
 /// Thread safe.
 class GroupTable {
  public:
-  explicit GroupTable(std::size_t most) : most_a_stripe(most / kStripes + 1) {}
+  explicit GroupTable(std::size_t max_groups)
+      : max_per_stripe(max_groups / kStripes + 1) {}
 
   /// The group of `policy` for `key`; creates it if there is none.
   [[nodiscard]] std::shared_ptr<LimitGroup>
@@ -48,7 +49,7 @@
   /// stripe is locked and full.
   static bool evict_one(Stripe& stripe, TimePoint now);
 
-  std::size_t most_a_stripe;
+  std::size_t max_per_stripe;
   std::array<Stripe, kStripes> stripes;
 };
 
--- a/ibismux/admission/limit_group.cc
+++ b/ibismux/admission/limit_group.cc
@@ -7,7 +7,7 @@
 namespace {
 
 /// Weight of the newest hold time in the moving average, as 1 in this many.
-constexpr int kHoldMemory = 8;
+constexpr int kHoldTimeSamples = 8;
 
 }  // namespace
 
@@ -27,17 +27,18 @@
   return true;
 }
 
-void LimitGroup::give_slot_back(std::optional<Duration> held) {
+void LimitGroup::release_slot(std::optional<Duration> hold_time) {
   const std::lock_guard lock(this->mutex);
   --this->in_flight;
-  if (held.has_value()) {
-    this->usual_hold += (*held - this->usual_hold) / kHoldMemory;
+  if (hold_time.has_value()) {
+    this->mean_hold_time +=
+        (*hold_time - this->mean_hold_time) / kHoldTimeSamples;
   }
 }
 
-Duration LimitGroup::slot_wait() {
+Duration LimitGroup::estimated_slot_wait() {
   const std::lock_guard lock(this->mutex);
-  return this->usual_hold / std::max<std::uint32_t>(1, this->in_flight);
+  return this->mean_hold_time / std::max<std::uint32_t>(1, this->in_flight);
 }
 
 bool LimitGroup::idle(TimePoint now) {
--- a/ibismux/admission/limit_group.h
+++ b/ibismux/admission/limit_group.h
@@ -34,9 +34,9 @@
   [[nodiscard]] bool take_slot(const LimitShare& share);
   /// @param hold_time How long the slot was held; absent if the request did not
   /// run.
-  void give_slot_back(std::optional<Duration> held);
+  void release_slot(std::optional<Duration> hold_time);
   /// Estimated time until a slot is free.
-  [[nodiscard]] Duration slot_wait();
+  [[nodiscard]] Duration estimated_slot_wait();
   /// @}
 
   /// Whether no slot is held and no rate window holds a request, so that the
@@ -50,7 +50,7 @@
 
   std::mutex mutex;
   std::uint32_t in_flight = 0;
-  Duration usual_hold{};  ///< Moving average.
+  Duration mean_hold_time{};  ///< Moving average.
   std::vector<std::unique_ptr<RateMeter>> meters;
 };
 
--- a/ibismux/admission/load_pool.cc
+++ b/ibismux/admission/load_pool.cc
@@ -15,12 +15,12 @@
 constexpr int kLatencySamples = 16;
 /// Half-life of the decaying count of refusals.
 constexpr std::chrono::duration<double> kRefusalHalfLife{0.5};
-constexpr milliseconds kShortestWait{20};
-constexpr milliseconds kLongestWait{5000};
+constexpr milliseconds kMinRetryWait{20};
+constexpr milliseconds kMaxRetryWait{5000};
 
 /// A failed request counts as slow if it took more than this multiple of the
 /// mean latency.
-constexpr double kSlowFailure = 2.0;
+constexpr double kSlowFailureStretch = 2.0;
 
 /// Whether a request that failed with `error` may have waited for the leafs.
 bool may_be_slow(ErrorKind error) noexcept {
@@ -31,23 +31,23 @@
 }  // namespace
 
 LoadPool::LoadPool(double initial_limit)
-    : classes{Class{AdaptiveLimit(initial_limit)},
-              Class{AdaptiveLimit(initial_limit)},
-              Class{AdaptiveLimit(initial_limit)},
-              Class{AdaptiveLimit(initial_limit)}} {
+    : classes{PriorityClass{AdaptiveLimit(initial_limit)},
+              PriorityClass{AdaptiveLimit(initial_limit)},
+              PriorityClass{AdaptiveLimit(initial_limit)},
+              PriorityClass{AdaptiveLimit(initial_limit)}} {
   static_assert(kPriorities == 4);
 }
 
 Duration LoadPool::enter(Priority priority, TimePoint now) {
   const std::lock_guard lock(this->mutex);
-  Class& own = this->at(priority);
+  PriorityClass& priority_class = this->at(priority);
   const std::uint32_t in_flight = this->in_flight_up_to(priority);
-  if (in_flight >= own.limit.limit()) {
-    own.limit.on_refused();
-    return this->wait(own, now);
+  if (in_flight >= priority_class.limit.limit()) {
+    priority_class.limit.on_refused();
+    return this->retry_wait(priority_class, now);
   }
-  ++own.in_flight;
-  own.limit.on_admitted(in_flight + 1);
+  ++priority_class.in_flight;
+  priority_class.limit.on_admitted(in_flight + 1);
   return Duration::zero();
 }
 
@@ -61,31 +61,33 @@
                       const RequestEnd& end,
                       TimePoint now) {
   const std::lock_guard lock(this->mutex);
-  Class& own = this->at(priority);
-  --own.in_flight;
-  const std::uint32_t left = this->in_flight_up_to(priority);
+  PriorityClass& priority_class = this->at(priority);
+  --priority_class.in_flight;
+  const std::uint32_t remaining = this->in_flight_up_to(priority);
   if (end.error == ErrorKind::kOverloaded) {
-    own.limit.on_overloaded(left, now);
+    priority_class.limit.on_overloaded(remaining, now);
   } else if (end.error.has_value()) {
-    const double stretch = stretch_of(own, latency);
-    if (may_be_slow(*end.error) && stretch > kSlowFailure) {
+    const double stretch = stretch_of(priority_class, latency);
+    if (may_be_slow(*end.error) && stretch > kSlowFailureStretch) {
       // A quick failure tells nothing about the load. If it were counted as a
       // success, it would raise the limit while leafs are down.
-      own.limit.on_finished(stretch, latency, left, now);
+      priority_class.limit.on_finished(stretch, latency, remaining, now);
     }
   } else if (const auto stretch = end.leaf_wait.stretch()) {
-    own.usual_latency += own.usual_latency > Duration::zero()
-                             ? (latency - own.usual_latency) / kLatencySamples
-                             : latency;
-    own.limit.on_finished(*stretch, latency, left, now);
+    priority_class.mean_latency +=
+        priority_class.mean_latency > Duration::zero()
+            ? (latency - priority_class.mean_latency) / kLatencySamples
+            : latency;
+    priority_class.limit.on_finished(*stretch, latency, remaining, now);
   }
 }
 
-double LoadPool::stretch_of(const Class& own, Duration latency) noexcept {
-  return own.usual_latency <= Duration::zero()
+double LoadPool::stretch_of(const PriorityClass& priority_class,
+                            Duration latency) noexcept {
+  return priority_class.mean_latency <= Duration::zero()
              ? 1
              : static_cast<double>(latency.count()) /
-                   static_cast<double>(own.usual_latency.count());
+                   static_cast<double>(priority_class.mean_latency.count());
 }
 
 double LoadPool::current_limit(Priority priority) {
@@ -106,17 +108,20 @@
   return count;
 }
 
-Duration LoadPool::wait(Class& own, TimePoint now) noexcept {
+Duration LoadPool::retry_wait(PriorityClass& priority_class,
+                              TimePoint now) noexcept {
   const std::chrono::duration<double> age =
-      std::max(Duration::zero(), now - own.refused_at);
-  own.refused = own.refused * std::exp2(-age / kRefusalHalfLife) + 1;
-  own.refused_at = now;
+      std::max(Duration::zero(), now - priority_class.last_refusal);
+  priority_class.recent_refusals =
+      priority_class.recent_refusals * std::exp2(-age / kRefusalHalfLife) + 1;
+  priority_class.last_refusal = now;
   // All slots become free once within about the mean latency; requests refused
   // earlier are expected to retry first.
-  const double turns = 1 + own.refused / own.limit.limit();
+  const double turns =
+      1 + priority_class.recent_refusals / priority_class.limit.limit();
   const Duration wait = std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(own.usual_latency) * turns);
-  return std::clamp<Duration>(wait, kShortestWait, kLongestWait);
+      std::chrono::duration<double>(priority_class.mean_latency) * turns);
+  return std::clamp<Duration>(wait, kMinRetryWait, kMaxRetryWait);
 }
 
 }  // namespace ibismux::admission
--- a/ibismux/admission/load_pool.h
+++ b/ibismux/admission/load_pool.h
@@ -45,29 +45,30 @@
   [[nodiscard]] std::uint32_t in_flight();
 
  private:
-  struct Class {
+  struct PriorityClass {
     AdaptiveLimit limit;
     std::uint32_t in_flight = 0;
-    Duration usual_latency{};  ///< Moving average.
+    Duration mean_latency{};  ///< Moving average.
     /// Number of recent refusals, decaying exponentially. A refused request
     /// that retries soon competes with them.
-    double refused = 0;
-    TimePoint refused_at{};
+    double recent_refusals = 0;
+    TimePoint last_refusal{};
   };
 
-  [[nodiscard]] Class& at(Priority priority) noexcept {
+  [[nodiscard]] PriorityClass& at(Priority priority) noexcept {
     return this->classes[static_cast<std::size_t>(priority)];
   }
   /// The requests in flight of the class and of all higher classes.
   [[nodiscard]] std::uint32_t in_flight_up_to(Priority priority) const noexcept;
   /// The latency of a failed request divided by the mean latency of successful
   /// ones; 1 if that isn't known yet.
-  [[nodiscard]] static double stretch_of(const Class& own,
+  [[nodiscard]] static double stretch_of(const PriorityClass& priority_class,
                                          Duration latency) noexcept;
-  [[nodiscard]] static Duration wait(Class& own, TimePoint now) noexcept;
+  [[nodiscard]] static Duration retry_wait(PriorityClass& priority_class,
+                                           TimePoint now) noexcept;
 
   std::mutex mutex;
-  std::array<Class, kPriorities> classes;
+  std::array<PriorityClass, kPriorities> classes;
 };
 
 }  // namespace ibismux::admission
--- a/ibismux/admission/plan_table.cc
+++ b/ibismux/admission/plan_table.cc
@@ -128,7 +128,8 @@
     for (const auto& policy : service.limits) {
       plan->policies.push_back(
           policy_plan(policy, name, rank, this->groups, now));
-      plan->policies.back().refused = &this->metrics.refused_by(policy->name);
+      plan->policies.back().refusal_counter =
+          &this->metrics.refusal_counter(policy->name);
     }
     plan->pool = pools.pool(name, group);
     plan->metrics = before != nullptr && before->priority == plan->priority
@@ -136,7 +137,7 @@
                         : this->metrics.service(name, plan->priority);
     fresh->services.emplace(name, std::move(plan));
   }
-  this->metrics.groups(this->groups.size());
+  this->metrics.set_group_count(this->groups.size());
   this->sets.write(fresh);
   return fresh;
 }
--- a/ibismux/admission/plan_table.h
+++ b/ibismux/admission/plan_table.h
@@ -21,8 +21,9 @@
 struct PolicyPlan {
   std::shared_ptr<const release::LimitPolicy> policy;
   std::shared_ptr<const LimitShare> share;
-  std::shared_ptr<LimitGroup> group;       ///< Null if each caller has its own.
-  prometheus::Counter* refused = nullptr;  ///< Requests that it refused.
+  std::shared_ptr<LimitGroup> group;  ///< Null if each caller has its own.
+  prometheus::Counter* refusal_counter =
+      nullptr;  ///< Requests that it refused.
 };
 
 /// Everything that a request to one service is checked against.
