--- a/ibismux/admission/plan_table.cc
+++ b/ibismux/admission/plan_table.cc
@@ -14,8 +14,8 @@
 
 /// The adaptive limit of a load group starts at this multiple of this daemon's
 /// share of the declared slots.
-constexpr double kInitialDepth = 4;
-constexpr double kLeastInitial = 4;
+constexpr double kInitialLimitFactor = 4;
+constexpr double kMinInitialLimit = 4;
 
 FleetRank rank_of(const membership::MembershipView& view) {
   FleetRank rank{0, static_cast<std::uint32_t>(view.serving())};
@@ -52,30 +52,32 @@
 }
 
 double initial_limit(const LoadGroup& group, FleetRank rank) {
-  return std::max(kLeastInitial, kInitialDepth * group.slots / rank.count);
+  return std::max(kMinInitialLimit,
+                  kInitialLimitFactor * group.slots / rank.count);
 }
 
-const ServicePlan* plan_in(const PlanSet& set, const std::string& service) {
+const ServicePlan* find_plan(const PlanSet& set, const std::string& service) {
   const auto found = set.services.find(service);
   return found == set.services.end() ? nullptr : found->second.get();
 }
 
 /// Assigns each load group the limiter that its services had before, so that
 /// its learned limits are kept.
-class PoolChooser {
+class LimiterAssigner {
  public:
-  PoolChooser(const PlanSet& old, FleetRank rank) : old(old), rank(rank) {}
+  LimiterAssigner(const PlanSet& old, FleetRank rank) : old(old), rank(rank) {}
 
   std::shared_ptr<LoadPool> pool(const std::string& service,
                                  const LoadGroup& group) {
     std::shared_ptr<LoadPool>& pool = this->pools[group.name];
     if (pool == nullptr) {
-      const ServicePlan* before = plan_in(this->old, service);
+      const ServicePlan* previous = find_plan(this->old, service);
       // If a group has split, only one part keeps the limiter. If the parts
       // shared it, load on one would shed requests of the other, although they
       // no longer share a leaf.
-      pool = before != nullptr && this->taken.insert(before->pool.get()).second
-                 ? before->pool
+      pool = previous != nullptr &&
+                     this->reused.insert(previous->pool.get()).second
+                 ? previous->pool
                  : std::make_shared<LoadPool>(initial_limit(group, this->rank));
     }
     return pool;
@@ -85,7 +87,7 @@
   const PlanSet& old;
   FleetRank rank;
   std::map<std::string, std::shared_ptr<LoadPool>> pools;
-  std::set<const LoadPool*> taken;
+  std::set<const LoadPool*> reused;
 };
 
 }  // namespace
@@ -111,18 +113,18 @@
 std::shared_ptr<const PlanSet> PlanTable::rebuild(TimePoint now) {
   const std::lock_guard lock(this->mutex);
   std::shared_ptr<const PlanSet> old = this->sets.read();
-  auto fresh = std::make_shared<PlanSet>();
-  fresh->release = this->releases.read();
-  fresh->members = this->members.read();
-  if (old->release == fresh->release && old->members == fresh->members) {
+  auto next = std::make_shared<PlanSet>();
+  next->release = this->releases.read();
+  next->members = this->members.read();
+  if (old->release == next->release && old->members == next->members) {
     return old;
   }
-  const FleetRank rank = rank_of(*fresh->members);
-  PoolChooser pools(*old, rank);
-  for (const auto& [name, group] : find_load_groups(*fresh->release)) {
+  const FleetRank rank = rank_of(*next->members);
+  LimiterAssigner pools(*old, rank);
+  for (const auto& [name, group] : find_load_groups(*next->release)) {
     const release::ServiceView& service =
-        *fresh->release->services.find(name)->second;
-    const ServicePlan* before = plan_in(*old, name);
+        *next->release->services.find(name)->second;
+    const ServicePlan* previous = find_plan(*old, name);
     auto plan = std::make_shared<ServicePlan>();
     plan->priority = service.spec.priority;
     for (const auto& policy : service.limits) {
@@ -132,14 +134,14 @@
           &this->metrics.refusal_counter(policy->name);
     }
     plan->pool = pools.pool(name, group);
-    plan->metrics = before != nullptr && before->priority == plan->priority
-                        ? before->metrics
+    plan->metrics = previous != nullptr && previous->priority == plan->priority
+                        ? previous->metrics
                         : this->metrics.service(name, plan->priority);
-    fresh->services.emplace(name, std::move(plan));
+    next->services.emplace(name, std::move(plan));
   }
   this->metrics.set_group_count(this->groups.size());
-  this->sets.write(fresh);
-  return fresh;
+  this->sets.write(next);
+  return next;
 }
 
 }  // namespace ibismux::admission
--- a/ibismux/admission/pool_finder.cc
+++ b/ibismux/admission/pool_finder.cc
@@ -25,7 +25,7 @@
     return leaf;
   }
 
-  void join(std::uint32_t a, std::uint32_t b) {
+  void unite(std::uint32_t a, std::uint32_t b) {
     this->parents[this->root(a)] = this->root(b);
   }
 
@@ -34,13 +34,14 @@
 };
 
 /// The newest snapshot of `service`, or null.
-const release::SnapshotView* newest(const release::ServiceView& service) {
+const release::SnapshotView* newest_snapshot(
+    const release::ServiceView& service) {
   return service.snapshots.empty() ? nullptr : service.snapshots.front().get();
 }
 
 /// The first leaf of the newest snapshot of `service`; absent if there is none.
-std::optional<std::uint32_t> any_leaf(const release::ServiceView& service) {
-  const release::SnapshotView* snapshot = newest(service);
+std::optional<std::uint32_t> first_leaf(const release::ServiceView& service) {
+  const release::SnapshotView* snapshot = newest_snapshot(service);
   if (snapshot != nullptr) {
     for (const release::ShardView& shard : snapshot->shards) {
       if (!shard.replicas.empty()) {
@@ -51,33 +52,33 @@
   return std::nullopt;
 }
 
-void join_leafs(const release::ServiceView& service, LeafSets& sets) {
-  const std::optional<std::uint32_t> first = any_leaf(service);
+void unite_leafs(const release::ServiceView& service, LeafSets& sets) {
+  const std::optional<std::uint32_t> first = first_leaf(service);
   if (!first.has_value()) {
     return;
   }
-  for (const release::ShardView& shard : newest(service)->shards) {
+  for (const release::ShardView& shard : newest_snapshot(service)->shards) {
     for (const std::uint32_t leaf : shard.replicas) {
-      sets.join(leaf, *first);
+      sets.unite(leaf, *first);
     }
   }
 }
 
-std::uint32_t fewest_slots(const release::Release& release,
-                           const release::ServiceView& service) {
-  std::uint32_t fewest = 0;
-  const release::SnapshotView* snapshot = newest(service);
+std::uint32_t min_shard_slots(const release::Release& release,
+                              const release::ServiceView& service) {
+  std::uint32_t min_slots = 0;
+  const release::SnapshotView* snapshot = newest_snapshot(service);
   if (snapshot == nullptr) {
-    return fewest;
+    return min_slots;
   }
   for (const release::ShardView& shard : snapshot->shards) {
     std::uint32_t slots = 0;
     for (const std::uint32_t leaf : shard.replicas) {
       slots += release.leafs[leaf].slots;
     }
-    fewest = fewest == 0 ? slots : std::min(fewest, slots);
+    min_slots = min_slots == 0 ? slots : std::min(min_slots, slots);
   }
-  return fewest;
+  return min_slots;
 }
 
 }  // namespace
@@ -86,12 +87,12 @@
     const release::Release& release) {
   LeafSets sets(release.leafs.size());
   for (const auto& [name, service] : release.services) {
-    join_leafs(*service, sets);
+    unite_leafs(*service, sets);
   }
   std::map<std::uint32_t, LoadGroup> by_root;
   std::map<std::string, LoadGroup> groups;
   for (const auto& [name, service] : release.services) {
-    const std::optional<std::uint32_t> leaf = any_leaf(*service);
+    const std::optional<std::uint32_t> leaf = first_leaf(*service);
     if (!leaf.has_value()) {
       groups.emplace(name, LoadGroup{name, 0});
       continue;
@@ -100,7 +101,7 @@
     if (group.name.empty()) {
       group.name = name;
     }
-    group.slots = std::max(group.slots, fewest_slots(release, *service));
+    group.slots = std::max(group.slots, min_shard_slots(release, *service));
     groups.emplace(name, group);
   }
   return groups;
--- a/ibismux/admission/sliding_log.cc
+++ b/ibismux/admission/sliding_log.cc
@@ -5,7 +5,7 @@
 namespace ibismux::admission {
 
 Duration SlidingLog::wait(std::uint32_t limit, TimePoint now) {
-  this->trim(now);
+  this->remove_expired(now);
   if (limit == 0) {
     return this->window;
   }
@@ -14,8 +14,8 @@
   }
   // More requests than `limit` may be logged, because the limit can be lowered;
   // then several have to leave the window first.
-  const std::size_t leaving = this->times.size() - limit;
-  return this->times[leaving] + this->window - now;
+  const std::size_t excess = this->times.size() - limit;
+  return this->times[excess] + this->window - now;
 }
 
 void SlidingLog::record(TimePoint now) {
@@ -26,11 +26,11 @@
 }
 
 bool SlidingLog::idle(TimePoint now) {
-  this->trim(now);
+  this->remove_expired(now);
   return this->times.empty();
 }
 
-void SlidingLog::trim(TimePoint now) {
+void SlidingLog::remove_expired(TimePoint now) {
   while (!this->times.empty() && now - this->times.front() >= this->window) {
     this->times.pop_front();
   }
--- a/ibismux/admission/sliding_log.h
+++ b/ibismux/admission/sliding_log.h
@@ -18,7 +18,7 @@
   [[nodiscard]] bool idle(TimePoint now) override;
 
  private:
-  void trim(TimePoint now);
+  void remove_expired(TimePoint now);
 
   Duration window;
   std::deque<TimePoint> times;  ///< In ascending order.
--- a/ibismux/admission/window_counter.cc
+++ b/ibismux/admission/window_counter.cc
@@ -9,28 +9,29 @@
 WindowCounter::WindowCounter(Duration window)
     // Rounded up, because narrower buckets would together cover less than the
     // window and drop requests too early.
-    : width(std::max<Duration>(Duration(1),
-                               (window + Duration(kBuckets - 1)) / kBuckets)) {}
+    : width(std::max<Duration>(
+          Duration(1),
+          (window + Duration(kBucketCount - 1)) / kBucketCount)) {}
 
 Duration WindowCounter::wait(std::uint32_t limit, TimePoint now) {
   this->advance(now);
   if (limit == 0) {
-    return this->width * kBuckets;
+    return this->width * kBucketCount;
   }
   if (this->total < limit) {
     return Duration::zero();
   }
-  std::uint64_t left = this->total;
-  std::int64_t bucket = this->newest - kBuckets;
+  std::uint64_t remaining = this->total;
+  std::int64_t bucket = this->newest - kBucketCount;
   for (; bucket < this->newest; ++bucket) {
-    left -= this->at(bucket);
-    if (left < limit) {
+    remaining -= this->at(bucket);
+    if (remaining < limit) {
       break;
     }
   }
   // The bucket leaves the ring when the bucket that reuses its place begins.
-  const Duration leaves = (bucket + kRing) * this->width;
-  return std::max(Duration(1), leaves - now.time_since_epoch());
+  const Duration expiry = (bucket + kRingSize) * this->width;
+  return std::max(Duration(1), expiry - now.time_since_epoch());
 }
 
 void WindowCounter::record(TimePoint now) {
@@ -46,7 +47,7 @@
 
 void WindowCounter::advance(TimePoint now) {
   const std::int64_t current = now.time_since_epoch() / this->width;
-  const std::int64_t steps = std::min(current - this->newest, kRing);
+  const std::int64_t steps = std::min(current - this->newest, kRingSize);
   for (std::int64_t i = 0; i < steps; ++i) {
     std::uint32_t& oldest = this->at(current - i);
     this->total -= oldest;
--- a/ibismux/admission/window_counter.h
+++ b/ibismux/admission/window_counter.h
@@ -20,22 +20,22 @@
   [[nodiscard]] bool idle(TimePoint now) override;
 
  private:
-  static constexpr std::int64_t kBuckets = 64;
+  static constexpr std::int64_t kBucketCount = 64;
   /// One more than a window holds, because the oldest bucket may be partly in
   /// it.
-  static constexpr std::int64_t kRing = kBuckets + 1;
+  static constexpr std::int64_t kRingSize = kBucketCount + 1;
 
   [[nodiscard]] std::uint32_t& at(std::int64_t bucket) noexcept {
     // Bucket numbers can be negative near the clock's epoch.
-    return this
-        ->counts[static_cast<std::size_t>((bucket % kRing + kRing) % kRing)];
+    return this->counts[static_cast<std::size_t>(
+        (bucket % kRingSize + kRingSize) % kRingSize)];
   }
   void advance(TimePoint now);
 
   Duration width;
   std::int64_t newest = 0;  ///< Number of the newest bucket in the ring.
   std::uint64_t total = 0;
-  std::array<std::uint32_t, kRing> counts{};
+  std::array<std::uint32_t, kRingSize> counts{};
 };
 
 }  // namespace ibismux::admission
--- a/ibismux/backend/leaf_connection.cc
+++ b/ibismux/backend/leaf_connection.cc
@@ -14,13 +14,14 @@
 LeafConnection::~LeafConnection() = default;
 
 Task<Result<LeafHealth>> LeafConnection::open(TimePoint deadline) {
-  const std::shared_ptr<http::ClientConnection> keep = this->connection;
-  const Result<void> connected = co_await keep->connect(deadline);
+  const std::shared_ptr<http::ClientConnection> held_connection =
+      this->connection;
+  const Result<void> connected = co_await held_connection->connect(deadline);
   if (!connected) {
     co_return tl::unexpected(connected.error());
   }
   Result<LeafHealth> health = co_await this->health(deadline);
-  if (health && !keep->usable()) {
+  if (health && !held_connection->usable()) {
     Error refused =
         make_error(ErrorKind::kLeafUnavailable, "refused the connection");
     refused.execution = Execution::kNotRun;
@@ -32,26 +33,29 @@
   co_return health;
 }
 
-Task<LeafReply> LeafConnection::call(LeafRequest request, TimePoint give_up) {
-  const std::shared_ptr<http::ClientConnection> keep = this->connection;
+Task<LeafReply> LeafConnection::call(LeafRequest request,
+                                     TimePoint answer_deadline) {
+  const std::shared_ptr<http::ClientConnection> held_connection =
+      this->connection;
   const std::shared_ptr<const http::Request> message =
       encode_call(request, Clock::now());
   const Result<http::Response> response =
-      co_await keep->exchange(message, give_up);
+      co_await held_connection->exchange(message, answer_deadline);
   LeafReply reply = interpret(request, response);
   // After an answer to another call, the answers on this connection no longer
   // match its calls, so later ones would be wrong too.
   if (reply.signal == LeafSignal::kForeign) {
-    keep->close();
+    held_connection->close();
   }
   co_return reply;
 }
 
 Task<Result<void>> LeafConnection::cancel(CallId id, TimePoint deadline) {
-  const std::shared_ptr<http::ClientConnection> keep = this->connection;
+  const std::shared_ptr<http::ClientConnection> held_connection =
+      this->connection;
   const std::shared_ptr<const http::Request> message = encode_cancel(id);
   const Result<http::Response> response =
-      co_await keep->exchange(message, deadline);
+      co_await held_connection->exchange(message, deadline);
   if (!response) {
     co_return tl::unexpected(response.error());
   }
@@ -59,11 +63,12 @@
 }
 
 Task<Result<LeafHealth>> LeafConnection::health(TimePoint deadline) {
-  const std::shared_ptr<http::ClientConnection> keep = this->connection;
+  const std::shared_ptr<http::ClientConnection> held_connection =
+      this->connection;
   auto message = std::make_shared<http::Request>();
   message->target = "/v1/health";
   const Result<http::Response> response =
-      co_await keep->exchange(std::move(message), deadline);
+      co_await held_connection->exchange(std::move(message), deadline);
   if (!response) {
     co_return tl::unexpected(response.error());
   }
--- a/ibismux/backend/leaf_connection.h
+++ b/ibismux/backend/leaf_connection.h
@@ -39,7 +39,8 @@
   /// be later than the request's deadline, because the connection stays usable
   /// if the leaf itself answers that the deadline has passed. Precondition:
   /// usable. Errors: see `interpret`.
-  [[nodiscard]] Task<LeafReply> call(LeafRequest request, TimePoint give_up);
+  [[nodiscard]] Task<LeafReply> call(LeafRequest request,
+                                     TimePoint answer_deadline);
 
   /// Requests cancellation of the call `id`, which runs on another connection.
   /// Precondition: usable. Errors: kLeafUnavailable, kDeadlineExceeded.
--- a/ibismux/backend/leaf_protocol.cc
+++ b/ibismux/backend/leaf_protocol.cc
@@ -11,23 +11,23 @@
 constexpr int kOk = 200;
 constexpr int kGone = 410;
 constexpr int kTooManyRequests = 429;
-constexpr int kClientClosed = 499;
+constexpr int kClientClosedRequest = 499;
 constexpr int kServiceUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 
 /// Meaning of an HTTP status, regardless of whether the call may have run.
-struct Verdict {
+struct StatusMeaning {
   LeafSignal signal;
   ErrorKind kind;
 };
 
-Verdict verdict_of(const http::Response& response) {
+StatusMeaning meaning_of(const http::Response& response) {
   switch (response.status) {
     case kGone:
       return {LeafSignal::kSnapshotGone, ErrorKind::kSnapshotGone};
     case kTooManyRequests:
       return {LeafSignal::kOverloaded, ErrorKind::kOverloaded};
-    case kClientClosed:
+    case kClientClosedRequest:
       return {LeafSignal::kCancelled, ErrorKind::kCancelled};
     case kGatewayTimeout:
       return {LeafSignal::kLeafTimeout, ErrorKind::kDeadlineExceeded};
@@ -58,30 +58,31 @@
 
 /// Replaces the error kind of a non-idempotent call that may have run by
 /// kOutcomeUnknown, whatever the failure, so that the call is not retried.
-Error settle(const LeafRequest& request, Error error) {
+Error apply_outcome_unknown(const LeafRequest& request, Error error) {
   if (!request.idempotent && error.execution == Execution::kUnknown) {
     error.kind = ErrorKind::kOutcomeUnknown;
   }
   return error;
 }
 
-LeafReply failed_exchange(const LeafRequest& request, Error error) {
+LeafReply reply_of_failed_exchange(const LeafRequest& request, Error error) {
   const LeafSignal signal = error.kind == ErrorKind::kDeadlineExceeded
                                 ? LeafSignal::kSilent
                                 : LeafSignal::kLost;
-  return {tl::unexpected(settle(request, std::move(error))), signal, false};
+  return {tl::unexpected(apply_outcome_unknown(request, std::move(error))),
+          signal, false};
 }
 
-bool echoes(const LeafRequest& request, const http::Response& response) {
+bool echoes_call(const LeafRequest& request, const http::Response& response) {
   return response.field("X-Call-Id") == to_string(request.id) &&
          response.field("X-Snapshot") == request.snapshot &&
          response.field("X-Shard") == request.shard;
 }
 
-LeafReply foreign(const LeafRequest& request) {
+LeafReply foreign_reply(const LeafRequest& request) {
   Error error = make_error(ErrorKind::kProtocolError,
                            "the leaf's answer belongs to another call");
-  return {tl::unexpected(settle(request, std::move(error))),
+  return {tl::unexpected(apply_outcome_unknown(request, std::move(error))),
           LeafSignal::kForeign, false};
 }
 
@@ -126,30 +127,30 @@
 LeafReply interpret(const LeafRequest& request,
                     const Result<http::Response>& response) {
   if (!response) {
-    return failed_exchange(request, response.error());
+    return reply_of_failed_exchange(request, response.error());
   }
   // A refusal need not echo the call id. If it names another call, it is late
   // or misdirected, and its "not-run" doesn't apply to this call.
-  const std::string_view named = response->field("X-Call-Id");
-  if (!named.empty() && named != to_string(request.id)) {
-    return foreign(request);
+  const std::string_view echoed_id = response->field("X-Call-Id");
+  if (!echoed_id.empty() && echoed_id != to_string(request.id)) {
+    return foreign_reply(request);
   }
   const bool leaving = response->field("X-Leaving") == "1";
   if (response->status == kOk) {
-    if (!echoes(request, *response)) {
-      return foreign(request);
+    if (!echoes_call(request, *response)) {
+      return foreign_reply(request);
     }
     return {response->body, LeafSignal::kAnswered, leaving};
   }
-  const Verdict verdict = verdict_of(*response);
-  Error error = make_error(verdict.kind,
+  const StatusMeaning meaning = meaning_of(*response);
+  Error error = make_error(meaning.kind,
                            "leaf: status " + std::to_string(response->status));
   error.execution = response->field("X-Execution") == "not-run"
                         ? Execution::kNotRun
                         : Execution::kUnknown;
   error.retry_after = retry_after_of(*response);
-  return {tl::unexpected(settle(request, std::move(error))), verdict.signal,
-          leaving || verdict.signal == LeafSignal::kDraining};
+  return {tl::unexpected(apply_outcome_unknown(request, std::move(error))),
+          meaning.signal, leaving || meaning.signal == LeafSignal::kDraining};
 }
 
 }  // namespace ibismux::backend
--- a/ibismux/concurrency/aimd_limit.cc
+++ b/ibismux/concurrency/aimd_limit.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr double kDecrease = 0.7;
+constexpr double kDecreaseFactor = 0.7;
 /// The limit rises by 1 after this multiple of `limit` answers.
-constexpr double kRoundsToRise = 2.0;
+constexpr double kRoundsPerIncrease = 2.0;
 
 }  // namespace
 
@@ -20,20 +20,21 @@
 void AimdLimit::on_answer(Duration leaf_time,
                           std::size_t in_flight,
                           TimePoint /*now*/) {
-  this->typical.add(leaf_time);
-  const bool held_back = static_cast<double>(in_flight) + 1 > this->current;
-  if (held_back) {
-    this->current = std::min(
-        this->current + 1.0 / (kRoundsToRise * this->current), this->most());
+  this->mean_leaf_time.add(leaf_time);
+  const bool limit_reached = static_cast<double>(in_flight) + 1 > this->current;
+  if (limit_reached) {
+    this->current =
+        std::min(this->current + 1.0 / (kRoundsPerIncrease * this->current),
+                 this->max_limit());
   }
 }
 
 void AimdLimit::on_overload(TimePoint now) {
-  if (now - this->lowered_at < this->typical.value()) {
+  if (now - this->lowered_at < this->mean_leaf_time.value()) {
     return;
   }
   this->lowered_at = now;
-  this->current = std::max(1.0, this->current * kDecrease);
+  this->current = std::max(1.0, this->current * kDecreaseFactor);
 }
 
 void AimdLimit::on_cold() {
@@ -41,12 +42,12 @@
 }
 
 void AimdLimit::declare(std::size_t slots) {
-  const double fresh = static_cast<double>(std::max<std::size_t>(slots, 1));
-  if (fresh == this->slots) {
+  const double new_slots = static_cast<double>(std::max<std::size_t>(slots, 1));
+  if (new_slots == this->slots) {
     return;
   }
-  this->slots = fresh;
-  this->current = fresh;
+  this->slots = new_slots;
+  this->current = new_slots;
 }
 
 }  // namespace ibismux::concurrency
--- a/ibismux/concurrency/aimd_limit.h
+++ b/ibismux/concurrency/aimd_limit.h
@@ -26,17 +26,17 @@
   void declare(std::size_t slots) override;
 
  private:
-  static constexpr int kAverageOver = 16;
+  static constexpr int kLeafTimeSamples = 16;
 
-  [[nodiscard]] double most() const noexcept {
+  [[nodiscard]] double max_limit() const noexcept {
     return this->slots * this->ceiling;
   }
 
   double slots;
   double ceiling;
   double current;
-  MovingAverage typical{kAverageOver};  ///< Of leaf times.
-  TimePoint lowered_at{};               ///< When the limit was last lowered.
+  MovingAverage mean_leaf_time{kLeafTimeSamples};
+  TimePoint lowered_at{};  ///< When the limit was last lowered.
 };
 
 }  // namespace ibismux::concurrency
--- a/tests/admission/adaptive_limit_test.cc
+++ b/tests/admission/adaptive_limit_test.cc
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kUsual{10};
+constexpr milliseconds kTypicalLatency{10};
 
 TimePoint at(std::int64_t ms) {
   return TimePoint(std::chrono::hours(1)) + milliseconds(ms);
@@ -21,22 +21,22 @@
 void run_ten(AdaptiveLimit& limit, double stretch, int ms) {
   limit.on_admitted(10);
   for (std::uint32_t i = 0; i < 10; ++i) {
-    limit.on_finished(stretch, kUsual, 9 - i, at(ms + 30));
+    limit.on_finished(stretch, kTypicalLatency, 9 - i, at(ms + 30));
   }
 }
 
 /// The leaf wait of a request whose calls took `stretch` times their work.
 LeafWait waited(int stretch) {
   LeafWait wait;
-  wait.add(kUsual * (stretch - 1), kUsual);
+  wait.add(kTypicalLatency * (stretch - 1), kTypicalLatency);
   return wait;
 }
 
 /// Runs a hundred batches of three concurrent bench lookups that all end with
 /// `error` after `latency`.
-void run_threes(LoadPool& pool,
-                std::optional<ErrorKind> error,
-                Duration latency) {
+void run_batches_of_three(LoadPool& pool,
+                          std::optional<ErrorKind> error,
+                          Duration latency) {
   for (int i = 0; i < 300; ++i) {
     cr_assert(pool.enter(Priority::kBench, at(30 * i)) == Duration::zero());
     if (i % 3 == 2) {
@@ -72,7 +72,7 @@
   AdaptiveLimit limit(10);
   for (int i = 0; i < 1000; ++i) {
     limit.on_admitted(10);
-    limit.on_finished(i % 10 < 3 ? 20 : 1.1, kUsual, 9, at(10 * i));
+    limit.on_finished(i % 10 < 3 ? 20 : 1.1, kTypicalLatency, 9, at(10 * i));
   }
   cr_assert(limit.limit() >= 10);
 }
@@ -84,7 +84,7 @@
   for (int i = 0; i < 5; ++i) {
     limit.on_refused();
     limit.on_admitted(static_cast<std::uint32_t>(limit.limit()));
-    limit.on_finished(1, kUsual, 0, at(100 * i));
+    limit.on_finished(1, kTypicalLatency, 0, at(100 * i));
   }
   cr_assert(limit.limit() == 6);
 }
@@ -97,7 +97,7 @@
     const TimePoint now = at(10 * i);
     if (pool.enter(Priority::kEditor, now) == Duration::zero()) {
       const int stretch = i < 32 ? 1 : 40;
-      pool.finish(Priority::kEditor, kUsual * stretch,
+      pool.finish(Priority::kEditor, kTypicalLatency * stretch,
                   {std::nullopt, waited(stretch)}, now);
     }
   }
@@ -113,11 +113,11 @@
 // are admitted that can only fail.
 Test(load_pool, quick_failures_do_not_raise_a_limit) {
   LoadPool pool(4);
-  run_threes(pool, ErrorKind::kCoverageTooLow, milliseconds(1));
-  run_threes(pool, ErrorKind::kDeadlineExceeded, milliseconds(1));
-  run_threes(pool, ErrorKind::kCancelled, milliseconds(1));
+  run_batches_of_three(pool, ErrorKind::kCoverageTooLow, milliseconds(1));
+  run_batches_of_three(pool, ErrorKind::kDeadlineExceeded, milliseconds(1));
+  run_batches_of_three(pool, ErrorKind::kCancelled, milliseconds(1));
   cr_assert(pool.current_limit(Priority::kBench) == 4);
-  run_threes(pool, std::nullopt, kUsual);
+  run_batches_of_three(pool, std::nullopt, kTypicalLatency);
   cr_assert(pool.current_limit(Priority::kBench) > 4);
 }
 
@@ -127,7 +127,7 @@
     if (pool.enter(Priority::kBench, at(100 * i)) == Duration::zero()) {
       const bool slow = i > 50;
       pool.finish(
-          Priority::kBench, kUsual * (slow ? 50 : 1),
+          Priority::kBench, kTypicalLatency * (slow ? 50 : 1),
           {slow ? std::optional(ErrorKind::kDeadlineExceeded) : std::nullopt,
            waited(1)},
           at(100 * i + 50));
--- a/tests/admission/admission_test.cc
+++ b/tests/admission/admission_test.cc
@@ -55,14 +55,15 @@
   return view;
 }
 
-struct Door {
-  explicit Door(std::shared_ptr<release::Release> release, std::size_t size = 1)
+struct AdmissionFixture {
+  explicit AdmissionFixture(std::shared_ptr<release::Release> release,
+                            std::size_t size = 1)
       : releases(std::move(release)),
         members(fleet(size)),
         admission(this->releases, this->members, this->metrics) {}
 
   /// Sends requests until one is refused; keeps the permits and the refusal.
-  std::size_t fill(const std::string& service, TimePoint now) {
+  std::size_t admit_until_refused(const std::string& service, TimePoint now) {
     std::size_t count = 0;
     while (count < 10'000) {
       Result<Permit> permit = this->admission.admit(service, "c", now);
@@ -108,15 +109,15 @@
   auto release = two_leafs();
   add_service(*release, "a", Priority::kBench, 0,
               {rate_policy(release::LimitPolicy::Scope::kService, 3)});
-  Door door(release);
+  AdmissionFixture fixture(release);
   for (int i = 0; i < 3; ++i) {
-    cr_assert(door.fill("a", at(i)) <= 3);
-    door.finish_all(std::nullopt, at(i));
+    cr_assert(fixture.admit_until_refused("a", at(i)) <= 3);
+    fixture.finish_all(std::nullopt, at(i));
   }
-  cr_assert(door.refusal.kind == ErrorKind::kRateLimited);
-  cr_assert(door.refusal.execution == Execution::kNotRun);
-  cr_assert(door.refusal.retry_after == milliseconds(998));
-  cr_assert(door.fill("a", at(1000)) == 3);
+  cr_assert(fixture.refusal.kind == ErrorKind::kRateLimited);
+  cr_assert(fixture.refusal.execution == Execution::kNotRun);
+  cr_assert(fixture.refusal.retry_after == milliseconds(998));
+  cr_assert(fixture.admit_until_refused("a", at(1000)) == 3);
 }
 
 Test(admission, the_fleet_shares_a_limit) {
@@ -125,12 +126,12 @@
   policy.name = "p";
   policy.concurrency = 12;
   add_service(*release, "a", Priority::kBench, 0, {policy});
-  Door door(release, 4);
-  cr_assert(door.fill("a", at(0)) == 3);
-  cr_assert(door.refusal.kind == ErrorKind::kRateLimited);
-  cr_assert(door.refusal.retry_after.has_value());
-  door.members.write(fleet(3));
-  cr_assert(door.fill("a", at(1)) == 1);
+  AdmissionFixture fixture(release, 4);
+  cr_assert(fixture.admit_until_refused("a", at(0)) == 3);
+  cr_assert(fixture.refusal.kind == ErrorKind::kRateLimited);
+  cr_assert(fixture.refusal.retry_after.has_value());
+  fixture.members.write(fleet(3));
+  cr_assert(fixture.admit_until_refused("a", at(1)) == 1);
 }
 
 Test(admission, counts_a_refusal_for_the_policy_that_refused) {
@@ -142,11 +143,11 @@
   wide.name = "wide";
   tight.name = "tight";
   add_service(*release, "a", Priority::kBench, 0, {wide, tight});
-  Door door(release);
-  cr_assert(door.fill("a", at(0)) == 1);
+  AdmissionFixture fixture(release);
+  cr_assert(fixture.admit_until_refused("a", at(0)) == 1);
   double tight_refusals = 0;
   double others = 0;
-  for (const auto& family : door.metrics.Collect()) {
+  for (const auto& family : fixture.metrics.Collect()) {
     if (family.name == "ibismux_admission_limit_refusals_total") {
       for (const auto& metric : family.metric) {
         (metric.label[0].value == "tight" ? tight_refusals : others) +=
@@ -162,10 +163,10 @@
   auto release = two_leafs();
   add_service(*release, "a", Priority::kBench, 0,
               {rate_policy(release::LimitPolicy::Scope::kCaller, 1)});
-  Door door(release);
-  cr_assert(door.admission.admit("a", "x", at(0)).has_value());
-  cr_assert(!door.admission.admit("a", "x", at(1)).has_value());
-  cr_assert(door.admission.admit("a", "y", at(1)).has_value());
+  AdmissionFixture fixture(release);
+  cr_assert(fixture.admission.admit("a", "x", at(0)).has_value());
+  cr_assert(!fixture.admission.admit("a", "x", at(1)).has_value());
+  cr_assert(fixture.admission.admit("a", "y", at(1)).has_value());
 }
 
 Test(admission, a_destroyed_permit_releases_its_slot) {
@@ -174,33 +175,33 @@
   policy.name = "p";
   policy.concurrency = 1;
   add_service(*release, "a", Priority::kBench, 0, {policy});
-  Door door(release);
-  cr_assert(door.fill("a", at(0)) == 1);
-  door.permits.clear();
-  cr_assert(door.fill("a", at(1)) == 1);
+  AdmissionFixture fixture(release);
+  cr_assert(fixture.admit_until_refused("a", at(0)) == 1);
+  fixture.permits.clear();
+  cr_assert(fixture.admit_until_refused("a", at(1)) == 1);
 }
 
 Test(admission, a_lower_class_never_causes_refusals_of_a_higher_one) {
   auto release = two_leafs();
   add_service(*release, "desk", Priority::kEditor, 0);
   add_service(*release, "bay", Priority::kDiagnostic, 0);
-  Door door(release);
-  const std::size_t editors = door.fill("desk", at(0));
+  AdmissionFixture fixture(release);
+  const std::size_t editors = fixture.admit_until_refused("desk", at(0));
   cr_assert(editors > 0 && editors < 10'000);
-  cr_assert(door.refusal.kind == ErrorKind::kOverloaded);
-  cr_assert(door.refusal.execution == Execution::kNotRun);
-  cr_assert(door.refusal.retry_after.has_value());
-  cr_assert(door.fill("bay", at(1)) == editors);
-  cr_assert(door.fill("desk", at(2)) == 0);
+  cr_assert(fixture.refusal.kind == ErrorKind::kOverloaded);
+  cr_assert(fixture.refusal.execution == Execution::kNotRun);
+  cr_assert(fixture.refusal.retry_after.has_value());
+  cr_assert(fixture.admit_until_refused("bay", at(1)) == editors);
+  cr_assert(fixture.admit_until_refused("desk", at(2)) == 0);
 }
 
 Test(admission, services_on_other_leafs_are_not_shed) {
   auto release = two_leafs();
   add_service(*release, "desk", Priority::kEditor, 0);
   add_service(*release, "portal", Priority::kEditor, 1);
-  Door door(release);
-  cr_assert(door.fill("desk", at(0)) > 0);
-  cr_assert(door.fill("portal", at(0)) > 0);
+  AdmissionFixture fixture(release);
+  cr_assert(fixture.admit_until_refused("desk", at(0)) > 0);
+  cr_assert(fixture.admit_until_refused("portal", at(0)) > 0);
 }
 
 // Failure: a service that no longer shares leafs with an overloaded one keeps
@@ -209,30 +210,30 @@
   auto together = two_leafs();
   add_service(*together, "desk", Priority::kEditor, 0);
   add_service(*together, "portal", Priority::kEditor, 0);
-  Door door(together);
-  cr_assert(door.fill("desk", at(0)) > 0);
-  cr_assert(door.fill("portal", at(0)) == 0);
+  AdmissionFixture fixture(together);
+  cr_assert(fixture.admit_until_refused("desk", at(0)) > 0);
+  cr_assert(fixture.admit_until_refused("portal", at(0)) == 0);
   auto apart = two_leafs();
   add_service(*apart, "desk", Priority::kEditor, 0);
   add_service(*apart, "portal", Priority::kEditor, 1);
-  door.releases.write(apart);
-  cr_assert(door.fill("portal", at(1)) > 0);
+  fixture.releases.write(apart);
+  cr_assert(fixture.admit_until_refused("portal", at(1)) > 0);
 }
 
 Test(admission, overloaded_leafs_lower_the_limit_and_idle_ones_raise_it) {
   auto release = two_leafs();
   add_service(*release, "a", Priority::kBench, 0);
-  Door door(release);
-  const std::size_t first = door.fill("a", at(0));
-  door.finish_all(ErrorKind::kOverloaded, at(50));
-  const std::size_t second = door.fill("a", at(60));
+  AdmissionFixture fixture(release);
+  const std::size_t first = fixture.admit_until_refused("a", at(0));
+  fixture.finish_all(ErrorKind::kOverloaded, at(50));
+  const std::size_t second = fixture.admit_until_refused("a", at(60));
   cr_assert(second < first);
-  door.finish_all(std::nullopt, at(100));
+  fixture.finish_all(std::nullopt, at(100));
   for (int i = 0; i < 20; ++i) {
-    door.fill("a", at(200 + 100 * i));
-    door.finish_all(std::nullopt, at(240 + 100 * i));
+    fixture.admit_until_refused("a", at(200 + 100 * i));
+    fixture.finish_all(std::nullopt, at(240 + 100 * i));
   }
-  cr_assert(door.fill("a", at(5000)) > first);
+  cr_assert(fixture.admit_until_refused("a", at(5000)) > first);
 }
 
 // Failure: requests answered without a leaf call lower the latency that queries
@@ -240,16 +241,16 @@
 Test(admission, requests_without_leaf_calls_do_not_make_queries_seem_slow) {
   auto release = two_leafs();
   add_service(*release, "a", Priority::kBench, 0);
-  Door door(release);
+  AdmissionFixture fixture(release);
   for (int i = 0; i < 600; ++i) {
     const bool query = i >= 100;
     for (int j = 0; j < 2; ++j) {
-      Result<Permit> permit = door.admission.admit("a", "c", at(50 * i));
+      Result<Permit> permit = fixture.admission.admit("a", "c", at(50 * i));
       cr_assert(permit.has_value());
-      door.permits.push_back(std::move(*permit));
+      fixture.permits.push_back(std::move(*permit));
     }
-    door.finish_all({std::nullopt, query ? idle_leafs() : LeafWait()},
-                    at(50 * i + (query ? 20 : 1)));
+    fixture.finish_all({std::nullopt, query ? idle_leafs() : LeafWait()},
+                       at(50 * i + (query ? 20 : 1)));
   }
 }
 
@@ -258,7 +259,7 @@
 Test(admission, one_slow_leaf_does_not_lower_the_limit) {
   auto release = two_leafs();
   add_service(*release, "a", Priority::kBench, 0);
-  Door door(release);
+  AdmissionFixture fixture(release);
   for (int i = 0; i < 400; ++i) {
     const bool slow = i >= 100;
     LeafWait wait;
@@ -267,11 +268,11 @@
     }
     wait.add(milliseconds(slow ? 400 : 1), milliseconds(slow ? 160 : 8));
     for (int j = 0; j < 3; ++j) {
-      Result<Permit> permit = door.admission.admit("a", "c", at(600 * i));
+      Result<Permit> permit = fixture.admission.admit("a", "c", at(600 * i));
       cr_assert(permit.has_value());
-      door.permits.push_back(std::move(*permit));
+      fixture.permits.push_back(std::move(*permit));
     }
-    door.finish_all({std::nullopt, wait}, at(600 * i + (slow ? 560 : 10)));
+    fixture.finish_all({std::nullopt, wait}, at(600 * i + (slow ? 560 : 10)));
   }
 }
 
@@ -280,24 +281,24 @@
 Test(admission, a_daemon_that_starts_during_overload_sheds) {
   auto release = two_leafs();
   add_service(*release, "a", Priority::kBench, 0);
-  Door door(release);
-  const std::size_t first = door.fill("a", at(0));
+  AdmissionFixture fixture(release);
+  const std::size_t first = fixture.admit_until_refused("a", at(0));
   LeafWait wait;
   wait.add(milliseconds(60), milliseconds(10));
   for (int i = 1; i < 20; ++i) {
-    door.finish_all({std::nullopt, wait}, at(100 * i));
-    cr_assert(door.fill("a", at(100 * i)) > 0);
+    fixture.finish_all({std::nullopt, wait}, at(100 * i));
+    cr_assert(fixture.admit_until_refused("a", at(100 * i)) > 0);
   }
-  cr_assert(door.permits.size() < first / 2);
+  cr_assert(fixture.permits.size() < first / 2);
 }
 
 Test(admission,
      unknown_service_and_missing_configuration_have_different_errors) {
-  Door door(two_leafs());
-  cr_assert(door.admission.admit("x", "c", at(0)).error().kind ==
+  AdmissionFixture fixture(two_leafs());
+  cr_assert(fixture.admission.admit("x", "c", at(0)).error().kind ==
             ErrorKind::kNotFound);
-  door.releases.write(std::make_shared<const release::Release>());
-  cr_assert(door.admission.admit("x", "c", at(0)).error().kind ==
+  fixture.releases.write(std::make_shared<const release::Release>());
+  cr_assert(fixture.admission.admit("x", "c", at(0)).error().kind ==
             ErrorKind::kNotReady);
 }
 
--- a/tests/admission/rate_meter_test.cc
+++ b/tests/admission/rate_meter_test.cc
@@ -18,8 +18,8 @@
 }
 
 /// The largest number of `times` in any window.
-std::size_t most_in_a_window(const std::vector<TimePoint>& times,
-                             Duration window) {
+std::size_t max_in_window(const std::vector<TimePoint>& times,
+                          Duration window) {
   std::size_t most = 0;
   std::size_t first = 0;
   for (std::size_t last = 0; last < times.size(); ++last) {
@@ -48,13 +48,13 @@
 
 Test(rate_meter, an_exact_log_admits_exactly_the_limit) {
   SlidingLog log(milliseconds(1000));
-  cr_assert(most_in_a_window(admitted_by(log, 40), milliseconds(1000)) == 40);
+  cr_assert(max_in_window(admitted_by(log, 40), milliseconds(1000)) == 40);
 }
 
 Test(rate_meter, a_counter_stays_close_below_the_limit) {
   WindowCounter counter(milliseconds(1000));
   const std::size_t most =
-      most_in_a_window(admitted_by(counter, 300), milliseconds(1000));
+      max_in_window(admitted_by(counter, 300), milliseconds(1000));
   cr_assert(most <= 300);
   cr_assert(most >= 290);
 }
--- a/tests/backend/leaf_protocol_test.cc
+++ b/tests/backend/leaf_protocol_test.cc
@@ -99,11 +99,11 @@
 
 Test(leaf_protocol, refusals_marked_not_run_are_reported_as_not_run) {
   for (const RefusalCase& row : kRefusals) {
-    const LeafReply promised =
+    const LeafReply reply =
         interpret(request(false), refusal(row.status, row.reason));
-    cr_assert(promised.signal == row.signal);
-    cr_assert(promised.body.error().kind == row.kind);
-    cr_assert(promised.body.error().execution == Execution::kNotRun);
+    cr_assert(reply.signal == row.signal);
+    cr_assert(reply.body.error().kind == row.kind);
+    cr_assert(reply.body.error().execution == Execution::kNotRun);
   }
 }
 
