--- a/ibismux/admission/admission.cc
+++ b/ibismux/admission/admission.cc
@@ -15,8 +15,8 @@
 
 using std::chrono::milliseconds;
 
-/// Maximum number of limit groups kept for callers and services. The largest
-/// group takes about 4 KB.
+/// Maximum number of counter sets kept for callers and services. The largest
+/// set takes about 4 KB.
 constexpr std::size_t kMaxGroups = 4096;
 constexpr milliseconds kNotReadyRetry{1000};
 
--- a/ibismux/admission/admission_metrics.h
+++ b/ibismux/admission/admission_metrics.h
@@ -46,7 +46,7 @@
   /// The counter of requests that `policy` refused.
   [[nodiscard]] prometheus::Counter& refusal_counter(const std::string& policy);
 
-  /// Sets how many limit groups are kept for services and callers.
+  /// Sets how many counter sets are kept for services and callers.
   void set_group_count(std::size_t count);
 
  private:
--- a/ibismux/admission/group_table.cc
+++ b/ibismux/admission/group_table.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// How many of the least recently used groups are checked to find an idle one.
+/// How many of the least recently used entries are checked to find an idle one.
 constexpr int kMaxEvictionCandidates = 4;
 /// Replaces every key that finds the table full. It can't collide with the key
 /// of a request, because a header field can't contain a line break.
--- a/ibismux/admission/group_table.h
+++ b/ibismux/admission/group_table.h
@@ -14,11 +14,11 @@
 
 namespace ibismux::admission {
 
-/// Bounded table of limit groups by policy and key. When a part of the table is
-/// full, one of its least recently used groups is evicted if it is idle. If
+/// Bounded table of limit counters by policy and key. When a part of the table
+/// is full, one of its least recently used entries is evicted if it is idle. If
 /// none of the candidates is idle, new keys of a policy share one overflow
-/// group. A flood of made-up caller names thus neither grows memory without
-/// bound nor resets the counts of a caller that is being limited.
+/// entry. A flood of made-up caller names thus neither grows memory without
+/// bound nor resets the counters of a caller that is being limited.
 ///
 /// Thread safe.
 class GroupTable {
@@ -26,7 +26,7 @@
   explicit GroupTable(std::size_t max_groups)
       : max_per_stripe(max_groups / kStripes + 1) {}
 
-  /// The group of `policy` for `key`; creates it if there is none.
+  /// The counters of `policy` for `key`; created if there are none.
   [[nodiscard]] std::shared_ptr<LimitGroup>
   get(const release::LimitPolicy& policy, std::string_view key, TimePoint now);
 
@@ -45,7 +45,7 @@
     std::unordered_map<std::string_view, std::list<Entry>::iterator> by_key;
   };
 
-  /// Evicts an idle group; returns false if it found none. Precondition: the
+  /// Evicts an idle entry; returns false if it found none. Precondition: the
   /// stripe is locked and full.
   static bool evict_one(Stripe& stripe, TimePoint now);
 
--- a/ibismux/admission/limit_group.cc
+++ b/ibismux/admission/limit_group.cc
@@ -49,8 +49,8 @@
 }
 
 RateVerdict check_and_record(std::span<const LimitUse> uses, TimePoint now) {
-  // The groups are always locked in the same order; otherwise two requests that
-  // share two groups could deadlock.
+  // The mutexes are always locked in the same order; otherwise two requests
+  // that need the same two could deadlock.
   std::vector<LimitGroup*> groups;
   groups.reserve(uses.size());
   for (const LimitUse& use : uses) {
--- a/ibismux/admission/limit_group.h
+++ b/ibismux/admission/limit_group.h
@@ -40,7 +40,7 @@
   /// @}
 
   /// Whether no slot is held and no rate window holds a request, so that the
-  /// group can be deleted without losing state.
+  /// counters can be deleted without losing state.
   [[nodiscard]] bool idle(TimePoint now);
 
  private:
@@ -54,7 +54,7 @@
   std::vector<std::unique_ptr<RateMeter>> meters;
 };
 
-/// A group that counts a request, and this daemon's share of its limits.
+/// Counters that record a request, and this daemon's share of their limits.
 struct LimitUse {
   std::shared_ptr<LimitGroup> group;
   std::shared_ptr<const LimitShare> share;
@@ -67,7 +67,7 @@
       0;  ///< Otherwise the index of the use with the longest wait.
 };
 
-/// Checks every rate rule of every group. If all of them admit the request,
+/// Checks every rate rule of all `uses`. If all of them admit the request,
 /// records it in all of them with the same time `now`. Thread safe.
 ///
 /// Checking and recording rule by rule has two faults. If a later rule refuses,
--- a/ibismux/admission/rate_meter.h
+++ b/ibismux/admission/rate_meter.h
@@ -11,7 +11,7 @@
 /// Counts requests in a sliding window. Checking and recording are separate, so
 /// that several rules can be checked before the request is recorded in any.
 ///
-/// Not thread safe; guarded by the mutex of the limit group that owns it.
+/// Not thread safe; the owner locks.
 class RateMeter {
  public:
   virtual ~RateMeter() = default;
--- a/tests/admission/limit_group_test.cc
+++ b/tests/admission/limit_group_test.cc
@@ -53,7 +53,7 @@
   cr_assert(check_and_record({&use, 1}, at(50)).wait == milliseconds(4950));
 }
 
-Test(limit_group, a_group_listed_twice_counts_once) {
+Test(limit_group, counters_listed_twice_count_once) {
   const LimitUse use = use_of(policy_of({{2, milliseconds(100)}}));
   const LimitUse twice[] = {use, use};
   cr_assert(check_and_record(twice, at(0)).wait == Duration::zero());
@@ -96,7 +96,7 @@
   }
 }
 
-Test(group_table, idle_groups_are_evicted) {
+Test(group_table, idle_entries_are_evicted) {
   const release::LimitPolicy policy = policy_of({{1, milliseconds(1000)}});
   auto share = std::make_shared<LimitShare>();
   share->rates.push_back(1);
