--- a/ibismux/admission/adaptive_limit.h
+++ b/ibismux/admission/adaptive_limit.h
@@ -42,13 +42,13 @@
   bool refused = false;  ///< A request was refused since the last increase.
   TimePoint window_start{};
   std::uint32_t finished = 0;
-  std::uint32_t over_tolerance =
-      0;  ///< Finished with a stretch over the tolerance.
+  /// Finished requests with a stretch over the tolerance.
+  std::uint32_t over_tolerance = 0;
   std::uint32_t overloaded = 0;
   double stretch_sum = 0;
   Duration latency_sum{};
-  std::uint32_t peak_in_flight =
-      0;  ///< Highest number in flight in this window.
+  /// Highest number of requests in flight in this window.
+  std::uint32_t peak_in_flight = 0;
 };
 
 }  // namespace ibismux::admission
--- a/ibismux/admission/limit_group.h
+++ b/ibismux/admission/limit_group.h
@@ -13,11 +13,11 @@
 
 namespace ibismux::admission {
 
-/// This daemon's share of one limit policy.
+/// This daemon's part of one limit policy.
 struct LimitShare {
   bool limits_concurrency = false;
   std::uint32_t concurrency = 0;
-  std::vector<std::uint32_t> rates;  ///< In the order of the policy's rules.
+  std::vector<std::uint32_t> rates;  ///< In order of the policy's rules.
 };
 
 /// The counters of one limit policy for one service or one caller.
@@ -63,8 +63,8 @@
 /// Combined result of all rate rules that apply to a request.
 struct RateVerdict {
   Duration wait{};  ///< Zero if the request was recorded.
-  std::size_t binding =
-      0;  ///< Otherwise the index of the use with the longest wait.
+  /// Otherwise the index of the use with the longest wait.
+  std::size_t binding = 0;
 };
 
 /// Checks every rate rule of all `uses`. If all of them admit the request,
--- a/ibismux/admission/load_pool.h
+++ b/ibismux/admission/load_pool.h
@@ -49,8 +49,8 @@
     AdaptiveLimit limit;
     std::uint32_t in_flight = 0;
     Duration mean_latency{};  ///< Moving average.
-    /// Number of recent refusals, decaying exponentially. A refused request
-    /// that retries soon competes with them.
+    /// Number of recent refusals, decaying exponentially. A request that
+    /// retries soon competes with the others that were refused.
     double recent_refusals = 0;
     TimePoint last_refusal{};
   };
--- a/ibismux/admission/plan_table.h
+++ b/ibismux/admission/plan_table.h
@@ -21,9 +21,10 @@
 struct PolicyPlan {
   std::shared_ptr<const release::LimitPolicy> policy;
   std::shared_ptr<const LimitShare> share;
-  std::shared_ptr<LimitGroup> group;  ///< Null if each caller has its own.
-  prometheus::Counter* refusal_counter =
-      nullptr;  ///< Requests that it refused.
+  /// Null if each caller has its own.
+  std::shared_ptr<LimitGroup> group;
+  /// Counts the requests that the policy refused.
+  prometheus::Counter* refusal_counter = nullptr;
 };
 
 /// Everything that a request to one service is checked against.
--- a/ibismux/admission/window_counter.h
+++ b/ibismux/admission/window_counter.h
@@ -9,8 +9,8 @@
 namespace ibismux::admission {
 
 /// Counts requests in buckets of 1/64 of the window, in fixed memory. A bucket
-/// counts until its end has left the window, so the limit is never exceeded; a
-/// request counts for up to 1/64 of the window too long.
+/// counts until its end has left the window, so the limit is never exceeded,
+/// and at most 1/64 of it goes unused.
 class WindowCounter final : public RateMeter {
  public:
   explicit WindowCounter(Duration window);
