--- a/apps/bench-policy/scenario_limits.cc
+++ b/apps/bench-policy/scenario_limits.cc
@@ -2,13 +2,13 @@
 #include <random>
 
 #include "apps/bench-policy/scenarios.h"
-#include "ibismux/admission/limit_group.h"
+#include "ibismux/admission/limit_counters.h"
 
 namespace ibismux::bench {
 
 namespace {
 
-using admission::LimitGroup;
+using admission::LimitCounters;
 using admission::LimitShare;
 using admission::LimitUse;
 using admission::RateMeter;
@@ -57,7 +57,7 @@
     for (const RateRule& rule : rules) {
       share->rates.push_back(rule.limit);
     }
-    this->use = {std::make_shared<LimitGroup>(policy), std::move(share)};
+    this->use = {std::make_shared<LimitCounters>(policy), std::move(share)};
   }
 
   [[nodiscard]] Duration pass(TimePoint now) {
--- a/ibismux/admission/admission.cc
+++ b/ibismux/admission/admission.cc
@@ -17,7 +17,7 @@
 
 /// Maximum number of counter sets kept for callers and services. The largest
 /// set takes about 4 KB.
-constexpr std::size_t kMaxGroups = 4096;
+constexpr std::size_t kMaxCounterSets = 4096;
 constexpr milliseconds kNotReadyRetry{1000};
 
 tl::unexpected<Error> refuse(ErrorKind kind,
@@ -47,8 +47,8 @@
       return refuse(ErrorKind::kOverloaded, "shed: leafs are overloaded", wait);
     }
     for (LimitUse& use : wanted) {
-      if (!use.group->take_slot(*use.share)) {
-        const Duration retry_after = use.group->estimated_slot_wait();
+      if (!use.counters->take_slot(*use.share)) {
+        const Duration retry_after = use.counters->estimated_slot_wait();
         this->plan->policies[this->uses.size()].refusal_counter->Increment();
         this->cancel();
         this->plan->metrics->record_decision(Decision::kConcurrencyLimited);
@@ -80,7 +80,7 @@
  private:
   void release_groups(std::optional<Duration> hold_time) {
     for (const LimitUse& use : std::exchange(this->uses, {})) {
-      use.group->release_slot(hold_time);
+      use.counters->release_slot(hold_time);
     }
   }
 
@@ -97,8 +97,8 @@
        const RcuCell<membership::MembershipView>& members,
        prometheus::Registry& metrics)
       : metrics(metrics),
-        groups(kMaxGroups),
-        plans(releases, members, this->groups, this->metrics) {}
+        counters_table(kMaxCounterSets),
+        plans(releases, members, this->counters_table, this->metrics) {}
 
   Result<Permit> admit(const std::string& service,
                        const std::string& caller,
@@ -110,7 +110,7 @@
                                 TimePoint now);
 
   AdmissionMetrics metrics;
-  GroupTable groups;
+  LimitCountersTable counters_table;
   PlanTable plans;
 };
 
@@ -150,9 +150,9 @@
   std::vector<LimitUse> uses;
   uses.reserve(plan.policies.size());
   for (const PolicyPlan& policy : plan.policies) {
-    uses.push_back({policy.group != nullptr
-                        ? policy.group
-                        : this->groups.get(*policy.policy, caller, now),
+    uses.push_back({policy.counters != nullptr
+                        ? policy.counters
+                        : this->counters_table.get(*policy.policy, caller, now),
                     policy.share});
   }
   return uses;
--- a/ibismux/admission/admission_metrics.cc
+++ b/ibismux/admission/admission_metrics.cc
@@ -96,7 +96,7 @@
   return this->families->refusals.Add({{"policy", policy}});
 }
 
-void AdmissionMetrics::set_group_count(std::size_t count) {
+void AdmissionMetrics::set_table_size(std::size_t count) {
   this->families->group_count.Set(static_cast<double>(count));
 }
 
--- a/ibismux/admission/admission_metrics.h
+++ b/ibismux/admission/admission_metrics.h
@@ -47,7 +47,7 @@
   [[nodiscard]] prometheus::Counter& refusal_counter(const std::string& policy);
 
   /// Sets how many counter sets are kept for services and callers.
-  void set_group_count(std::size_t count);
+  void set_table_size(std::size_t count);
 
  private:
   struct Families;
--- a/ibismux/admission/limit_group.cc
+++ b/ibismux/admission/limit_counters.cc
@@ -1,4 +1,4 @@
-#include "ibismux/admission/limit_group.h"
+#include "ibismux/admission/limit_counters.h"
 
 #include <algorithm>
 
@@ -11,14 +11,14 @@
 
 }  // namespace
 
-LimitGroup::LimitGroup(const release::LimitPolicy& policy) {
+LimitCounters::LimitCounters(const release::LimitPolicy& policy) {
   this->meters.reserve(policy.rates.size());
   for (const release::RateRule& rule : policy.rates) {
     this->meters.push_back(make_rate_meter(rule.limit, rule.window));
   }
 }
 
-bool LimitGroup::take_slot(const LimitShare& share) {
+bool LimitCounters::take_slot(const LimitShare& share) {
   const std::lock_guard lock(this->mutex);
   if (share.limits_concurrency && this->in_flight >= share.concurrency) {
     return false;
@@ -27,7 +27,7 @@
   return true;
 }
 
-void LimitGroup::release_slot(std::optional<Duration> hold_time) {
+void LimitCounters::release_slot(std::optional<Duration> hold_time) {
   const std::lock_guard lock(this->mutex);
   --this->in_flight;
   if (hold_time.has_value()) {
@@ -36,12 +36,12 @@
   }
 }
 
-Duration LimitGroup::estimated_slot_wait() {
+Duration LimitCounters::estimated_slot_wait() {
   const std::lock_guard lock(this->mutex);
   return this->mean_hold_time / std::max<std::uint32_t>(1, this->in_flight);
 }
 
-bool LimitGroup::idle(TimePoint now) {
+bool LimitCounters::idle(TimePoint now) {
   const std::lock_guard lock(this->mutex);
   return this->in_flight == 0 &&
          std::all_of(this->meters.begin(), this->meters.end(),
@@ -51,22 +51,24 @@
 RateVerdict check_and_record(std::span<const LimitUse> uses, TimePoint now) {
   // The mutexes are always locked in the same order; otherwise two requests
   // that need the same two could deadlock.
-  std::vector<LimitGroup*> groups;
-  groups.reserve(uses.size());
+  std::vector<LimitCounters*> all_counters;
+  all_counters.reserve(uses.size());
   for (const LimitUse& use : uses) {
-    groups.push_back(use.group.get());
+    all_counters.push_back(use.counters.get());
   }
-  std::sort(groups.begin(), groups.end(), std::less<>());
-  groups.erase(std::unique(groups.begin(), groups.end()), groups.end());
+  std::sort(all_counters.begin(), all_counters.end(), std::less<>());
+  all_counters.erase(std::unique(all_counters.begin(), all_counters.end()),
+                     all_counters.end());
   std::vector<std::unique_lock<std::mutex>> locks;
-  locks.reserve(groups.size());
-  for (LimitGroup* group : groups) {
-    locks.emplace_back(group->mutex);
+  locks.reserve(all_counters.size());
+  for (LimitCounters* counters : all_counters) {
+    locks.emplace_back(counters->mutex);
   }
   RateVerdict verdict;
   for (std::size_t use = 0; use < uses.size(); ++use) {
-    for (std::size_t rule = 0; rule < uses[use].group->meters.size(); ++rule) {
-      const Duration wait = uses[use].group->meters[rule]->wait(
+    for (std::size_t rule = 0; rule < uses[use].counters->meters.size();
+         ++rule) {
+      const Duration wait = uses[use].counters->meters[rule]->wait(
           uses[use].share->rates.at(rule), now);
       if (wait > verdict.wait) {
         verdict = {wait, use};
@@ -76,8 +78,8 @@
   if (verdict.wait > Duration::zero()) {
     return verdict;
   }
-  for (LimitGroup* group : groups) {
-    for (const auto& meter : group->meters) {
+  for (LimitCounters* counters : all_counters) {
+    for (const auto& meter : counters->meters) {
       meter->record(now);
     }
   }
--- a/ibismux/admission/limit_group.h
+++ b/ibismux/admission/limit_counters.h
@@ -1,5 +1,5 @@
-#ifndef IBISMUX_ADMISSION_LIMIT_GROUP_H_
-#define IBISMUX_ADMISSION_LIMIT_GROUP_H_
+#ifndef IBISMUX_ADMISSION_LIMIT_COUNTERS_H_
+#define IBISMUX_ADMISSION_LIMIT_COUNTERS_H_
 
 #include <cstdint>
 #include <memory>
@@ -23,11 +23,11 @@
 /// The counters of one limit policy for one service or one caller.
 ///
 /// Thread safe.
-class LimitGroup {
+class LimitCounters {
  public:
   /// @param policy Gives the windows, and the size of each limit, by which the
   /// kind of counter is chosen.
-  explicit LimitGroup(const release::LimitPolicy& policy);
+  explicit LimitCounters(const release::LimitPolicy& policy);
 
   /// @name Concurrency
   /// @{
@@ -56,7 +56,7 @@
 
 /// Counters that record a request, and this daemon's share of their limits.
 struct LimitUse {
-  std::shared_ptr<LimitGroup> group;
+  std::shared_ptr<LimitCounters> counters;
   std::shared_ptr<const LimitShare> share;
 };
 
@@ -79,4 +79,4 @@
 
 }  // namespace ibismux::admission
 
-#endif  // IBISMUX_ADMISSION_LIMIT_GROUP_H_
+#endif  // IBISMUX_ADMISSION_LIMIT_COUNTERS_H_
--- a/ibismux/admission/group_table.cc
+++ b/ibismux/admission/limit_counters_table.cc
@@ -1,4 +1,4 @@
-#include "ibismux/admission/group_table.h"
+#include "ibismux/admission/limit_counters_table.h"
 
 #include "ibismux/base/text_hash.h"
 
@@ -27,9 +27,10 @@
 
 }  // namespace
 
-std::shared_ptr<LimitGroup> GroupTable::get(const release::LimitPolicy& policy,
-                                            std::string_view key,
-                                            TimePoint now) {
+std::shared_ptr<LimitCounters> LimitCountersTable::get(
+    const release::LimitPolicy& policy,
+    std::string_view key,
+    TimePoint now) {
   std::string full = full_key(policy, key);
   const std::size_t hash = text_hash(full);
   Stripe& stripe = this->stripes[hash % kStripes];
@@ -38,7 +39,7 @@
   if (found != stripe.by_key.end()) {
     stripe.entries.splice(stripe.entries.begin(), stripe.entries,
                           found->second);
-    return found->second->group;
+    return found->second->counters;
   }
   if (stripe.entries.size() >= this->max_per_stripe && key != kOverflowKey &&
       !evict_one(stripe, now)) {
@@ -46,12 +47,12 @@
     return this->get(policy, kOverflowKey, now);
   }
   stripe.entries.push_front(
-      {std::move(full), std::make_shared<LimitGroup>(policy)});
+      {std::move(full), std::make_shared<LimitCounters>(policy)});
   stripe.by_key.emplace(stripe.entries.front().key, stripe.entries.begin());
-  return stripe.entries.front().group;
+  return stripe.entries.front().counters;
 }
 
-std::size_t GroupTable::size() {
+std::size_t LimitCountersTable::size() {
   std::size_t count = 0;
   for (Stripe& stripe : this->stripes) {
     const std::lock_guard lock(stripe.mutex);
@@ -60,13 +61,13 @@
   return count;
 }
 
-bool GroupTable::evict_one(Stripe& stripe, TimePoint now) {
+bool LimitCountersTable::evict_one(Stripe& stripe, TimePoint now) {
   auto entry = stripe.entries.end();
   for (int i = 0; i < kMaxEvictionCandidates && entry != stripe.entries.begin();
        ++i) {
     --entry;
     // Any other owner is a request in flight or a service's plan.
-    if (entry->group.use_count() == 1 && entry->group->idle(now)) {
+    if (entry->counters.use_count() == 1 && entry->counters->idle(now)) {
       stripe.by_key.erase(entry->key);
       stripe.entries.erase(entry);
       return true;
--- a/ibismux/admission/group_table.h
+++ b/ibismux/admission/limit_counters_table.h
@@ -1,5 +1,5 @@
-#ifndef IBISMUX_ADMISSION_GROUP_TABLE_H_
-#define IBISMUX_ADMISSION_GROUP_TABLE_H_
+#ifndef IBISMUX_ADMISSION_LIMIT_COUNTERS_TABLE_H_
+#define IBISMUX_ADMISSION_LIMIT_COUNTERS_TABLE_H_
 
 #include <array>
 #include <cstddef>
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <unordered_map>
 
-#include "ibismux/admission/limit_group.h"
+#include "ibismux/admission/limit_counters.h"
 
 namespace ibismux::admission {
 
@@ -21,13 +21,13 @@
 /// bound nor resets the counters of a caller that is being limited.
 ///
 /// Thread safe.
-class GroupTable {
+class LimitCountersTable {
  public:
-  explicit GroupTable(std::size_t max_groups)
-      : max_per_stripe(max_groups / kStripes + 1) {}
+  explicit LimitCountersTable(std::size_t max_size)
+      : max_per_stripe(max_size / kStripes + 1) {}
 
   /// The counters of `policy` for `key`; created if there are none.
-  [[nodiscard]] std::shared_ptr<LimitGroup>
+  [[nodiscard]] std::shared_ptr<LimitCounters>
   get(const release::LimitPolicy& policy, std::string_view key, TimePoint now);
 
   [[nodiscard]] std::size_t size();
@@ -37,7 +37,7 @@
 
   struct Entry {
     std::string key;
-    std::shared_ptr<LimitGroup> group;
+    std::shared_ptr<LimitCounters> counters;
   };
   struct Stripe {
     std::mutex mutex;
@@ -55,4 +55,4 @@
 
 }  // namespace ibismux::admission
 
-#endif  // IBISMUX_ADMISSION_GROUP_TABLE_H_
+#endif  // IBISMUX_ADMISSION_LIMIT_COUNTERS_TABLE_H_
--- a/ibismux/admission/plan_table.cc
+++ b/ibismux/admission/plan_table.cc
@@ -40,12 +40,12 @@
 PolicyPlan policy_plan(std::shared_ptr<const release::LimitPolicy> policy,
                        const std::string& service,
                        FleetRank rank,
-                       GroupTable& groups,
+                       LimitCountersTable& counters_table,
                        TimePoint now) {
   PolicyPlan plan;
   plan.share = std::make_shared<const LimitShare>(share_of(*policy, rank));
   if (policy->scope == release::LimitPolicy::Scope::kService) {
-    plan.group = groups.get(*policy, service, now);
+    plan.counters = counters_table.get(*policy, service, now);
   }
   plan.policy = std::move(policy);
   return plan;
@@ -94,11 +94,11 @@
 
 PlanTable::PlanTable(const RcuCell<release::Release>& releases,
                      const RcuCell<membership::MembershipView>& members,
-                     GroupTable& groups,
+                     LimitCountersTable& counters_table,
                      AdmissionMetrics& metrics)
     : releases(releases),
       members(members),
-      groups(groups),
+      counters_table(counters_table),
       metrics(metrics),
       sets(std::make_shared<const PlanSet>()) {}
 
@@ -129,7 +129,7 @@
     plan->priority = service.spec.priority;
     for (const auto& policy : service.limits) {
       plan->policies.push_back(
-          policy_plan(policy, name, rank, this->groups, now));
+          policy_plan(policy, name, rank, this->counters_table, now));
       plan->policies.back().refusal_counter =
           &this->metrics.refusal_counter(policy->name);
     }
@@ -139,7 +139,7 @@
                         : this->metrics.service(name, plan->priority);
     next->services.emplace(name, std::move(plan));
   }
-  this->metrics.set_group_count(this->groups.size());
+  this->metrics.set_table_size(this->counters_table.size());
   this->sets.write(next);
   return next;
 }
--- a/ibismux/admission/plan_table.h
+++ b/ibismux/admission/plan_table.h
@@ -9,7 +9,7 @@
 
 #include "ibismux/admission/admission_metrics.h"
 #include "ibismux/admission/fleet_share.h"
-#include "ibismux/admission/group_table.h"
+#include "ibismux/admission/limit_counters_table.h"
 #include "ibismux/admission/load_pool.h"
 #include "ibismux/base/rcu_cell.h"
 #include "ibismux/membership/forward.h"
@@ -22,7 +22,7 @@
   std::shared_ptr<const release::LimitPolicy> policy;
   std::shared_ptr<const LimitShare> share;
   /// Null if each caller has its own.
-  std::shared_ptr<LimitGroup> group;
+  std::shared_ptr<LimitCounters> counters;
   /// Counts the requests that the policy refused.
   prometheus::Counter* refusal_counter = nullptr;
 };
@@ -53,7 +53,7 @@
   /// All references must outlive the table.
   PlanTable(const RcuCell<release::Release>& releases,
             const RcuCell<membership::MembershipView>& members,
-            GroupTable& groups,
+            LimitCountersTable& counters_table,
             AdmissionMetrics& metrics);
 
   [[nodiscard]] std::shared_ptr<const PlanSet> current(TimePoint now);
@@ -63,7 +63,7 @@
 
   const RcuCell<release::Release>& releases;
   const RcuCell<membership::MembershipView>& members;
-  GroupTable& groups;
+  LimitCountersTable& counters_table;
   AdmissionMetrics& metrics;
   RcuCell<PlanSet> sets;
   std::mutex mutex;  ///< Serializes rebuilds.
--- a/tests/admission/limit_group_test.cc
+++ b/tests/admission/limit_counters_test.cc
@@ -1,9 +1,9 @@
-#include "ibismux/admission/limit_group.h"
+#include "ibismux/admission/limit_counters.h"
 
 #include <numeric>
 
 #include "ibismux/admission/fleet_share.h"
-#include "ibismux/admission/group_table.h"
+#include "ibismux/admission/limit_counters_table.h"
 
 #include <criterion/criterion.h>
 
@@ -28,12 +28,12 @@
   for (const release::RateRule& rule : policy.rates) {
     share->rates.push_back(rule.limit);
   }
-  return {std::make_shared<LimitGroup>(policy), share};
+  return {std::make_shared<LimitCounters>(policy), share};
 }
 
 // Failure: requests refused by one rule count against another, and fewer
 // requests are admitted than the limits allow.
-Test(limit_group, a_refused_request_is_not_counted) {
+Test(limit_counters, a_refused_request_is_not_counted) {
   const LimitUse tight = use_of(policy_of({{1, milliseconds(100)}}));
   const LimitUse wide = use_of(policy_of({{3, milliseconds(60'000)}}));
   const LimitUse both[] = {wide, tight};
@@ -46,14 +46,14 @@
   cr_assert(check_and_record({&wide, 1}, at(62)).wait > Duration::zero());
 }
 
-Test(limit_group, returns_the_longest_wait) {
+Test(limit_counters, returns_the_longest_wait) {
   const LimitUse use =
       use_of(policy_of({{1, milliseconds(100)}, {1, milliseconds(5000)}}));
   cr_assert(check_and_record({&use, 1}, at(0)).wait == Duration::zero());
   cr_assert(check_and_record({&use, 1}, at(50)).wait == milliseconds(4950));
 }
 
-Test(limit_group, counters_listed_twice_count_once) {
+Test(limit_counters, counters_listed_twice_count_once) {
   const LimitUse use = use_of(policy_of({{2, milliseconds(100)}}));
   const LimitUse twice[] = {use, use};
   cr_assert(check_and_record(twice, at(0)).wait == Duration::zero());
@@ -61,7 +61,7 @@
   cr_assert(check_and_record(twice, at(2)).wait > Duration::zero());
 }
 
-Test(limit_group, fleet_shares_add_up_to_the_limit) {
+Test(limit_counters, fleet_shares_add_up_to_the_limit) {
   for (const std::uint32_t limit : {1U, 3U, 7U, 10U, 1000U}) {
     for (std::uint32_t count = 1; count <= 9; ++count) {
       for (const std::uint64_t salt : {0ULL, 5ULL, ~0ULL}) {
@@ -77,11 +77,11 @@
 
 // Failure: made-up caller names exhaust the memory, or evict the counts of a
 // caller so that its limit no longer applies.
-Test(group_table, a_flood_of_names_is_bounded_and_lifts_no_limit) {
+Test(limit_counters_table, a_flood_of_names_is_bounded_and_lifts_no_limit) {
   const release::LimitPolicy policy = policy_of({{1, milliseconds(1000)}});
   auto share = std::make_shared<LimitShare>();
   share->rates.push_back(1);
-  GroupTable table(64);
+  LimitCountersTable table(64);
   std::size_t admitted = 0;
   for (int i = 0; i < 5000; ++i) {
     const LimitUse use{table.get(policy, std::to_string(i), at(0)), share};
@@ -96,11 +96,11 @@
   }
 }
 
-Test(group_table, idle_entries_are_evicted) {
+Test(limit_counters_table, idle_entries_are_evicted) {
   const release::LimitPolicy policy = policy_of({{1, milliseconds(1000)}});
   auto share = std::make_shared<LimitShare>();
   share->rates.push_back(1);
-  GroupTable table(16);
+  LimitCountersTable table(16);
   for (int i = 0; i < 500; ++i) {
     const TimePoint now = at(2000 * i);
     const LimitUse use{table.get(policy, std::to_string(i), now), share};
