--- a/ibismux/admission/admission.cc
+++ b/ibismux/admission/admission.cc
@@ -41,7 +41,7 @@
   [[nodiscard]] std::optional<tl::unexpected<Error>> take(
       std::vector<LimitUse> wanted) {
     const Duration wait =
-        this->plan->pool->enter(this->plan->priority, this->start);
+        this->plan->limiter->try_acquire(this->plan->priority, this->start);
     if (wait > Duration::zero()) {
       this->plan->metrics->record_decision(Decision::kShed);
       return refuse(ErrorKind::kOverloaded, "shed: leafs are overloaded", wait);
@@ -66,14 +66,14 @@
 
   /// Releases all slots of a request that did not run.
   void cancel() {
-    this->plan->pool->leave(this->plan->priority);
+    this->plan->limiter->release_unused(this->plan->priority);
     this->release_groups(std::nullopt);
   }
 
   /// Releases all slots of a request that has ended.
   void finish(const RequestEnd& end, TimePoint now) {
     const Duration latency = std::max(Duration::zero(), now - this->start);
-    this->plan->pool->finish(this->plan->priority, latency, end, now);
+    this->plan->limiter->finish(this->plan->priority, latency, end, now);
     this->release_groups(latency);
   }
 
@@ -138,8 +138,8 @@
     return refuse(ErrorKind::kRateLimited, "too many requests", rates.wait);
   }
   plan->metrics->record_decision(Decision::kAdmitted);
-  plan->metrics->set_load(plan->pool->current_limit(plan->priority),
-                          plan->pool->in_flight());
+  plan->metrics->set_load(plan->limiter->current_limit(plan->priority),
+                          plan->limiter->in_flight());
   return Permit(
       [slots](const RequestEnd& end, TimePoint at) { slots->finish(end, at); });
 }
--- a/ibismux/admission/forward.h
+++ b/ibismux/admission/forward.h
@@ -15,7 +15,7 @@
 class AdmissionMetrics;
 class LimitCountersTable;
 class LimitCounters;
-class LoadPool;
+class LoadLimiter;
 class Permit;
 class PlanTable;
 class RateMeter;
--- a/ibismux/admission/load_pool.cc
+++ b/ibismux/admission/load_limiter.cc
@@ -1,4 +1,4 @@
-#include "ibismux/admission/load_pool.h"
+#include "ibismux/admission/load_limiter.h"
 
 #include <algorithm>
 #include <cmath>
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-LoadPool::LoadPool(double initial_limit)
+LoadLimiter::LoadLimiter(double initial_limit)
     : classes{PriorityClass{AdaptiveLimit(initial_limit)},
               PriorityClass{AdaptiveLimit(initial_limit)},
               PriorityClass{AdaptiveLimit(initial_limit)},
@@ -38,7 +38,7 @@
   static_assert(kPriorities == 4);
 }
 
-Duration LoadPool::enter(Priority priority, TimePoint now) {
+Duration LoadLimiter::try_acquire(Priority priority, TimePoint now) {
   const std::lock_guard lock(this->mutex);
   PriorityClass& priority_class = this->at(priority);
   const std::uint32_t in_flight = this->in_flight_up_to(priority);
@@ -51,15 +51,15 @@
   return Duration::zero();
 }
 
-void LoadPool::leave(Priority priority) {
+void LoadLimiter::release_unused(Priority priority) {
   const std::lock_guard lock(this->mutex);
   --this->at(priority).in_flight;
 }
 
-void LoadPool::finish(Priority priority,
-                      Duration latency,
-                      const RequestEnd& end,
-                      TimePoint now) {
+void LoadLimiter::finish(Priority priority,
+                         Duration latency,
+                         const RequestEnd& end,
+                         TimePoint now) {
   const std::lock_guard lock(this->mutex);
   PriorityClass& priority_class = this->at(priority);
   --priority_class.in_flight;
@@ -82,25 +82,25 @@
   }
 }
 
-double LoadPool::stretch_of(const PriorityClass& priority_class,
-                            Duration latency) noexcept {
+double LoadLimiter::stretch_of(const PriorityClass& priority_class,
+                               Duration latency) noexcept {
   return priority_class.mean_latency <= Duration::zero()
              ? 1
              : static_cast<double>(latency.count()) /
                    static_cast<double>(priority_class.mean_latency.count());
 }
 
-double LoadPool::current_limit(Priority priority) {
+double LoadLimiter::current_limit(Priority priority) {
   const std::lock_guard lock(this->mutex);
   return this->at(priority).limit.limit();
 }
 
-std::uint32_t LoadPool::in_flight() {
+std::uint32_t LoadLimiter::in_flight() {
   const std::lock_guard lock(this->mutex);
   return this->in_flight_up_to(static_cast<Priority>(kPriorities - 1));
 }
 
-std::uint32_t LoadPool::in_flight_up_to(Priority priority) const noexcept {
+std::uint32_t LoadLimiter::in_flight_up_to(Priority priority) const noexcept {
   std::uint32_t count = 0;
   for (std::size_t i = 0; i <= static_cast<std::size_t>(priority); ++i) {
     count += this->classes[i].in_flight;
@@ -108,8 +108,8 @@
   return count;
 }
 
-Duration LoadPool::retry_wait(PriorityClass& priority_class,
-                              TimePoint now) noexcept {
+Duration LoadLimiter::retry_wait(PriorityClass& priority_class,
+                                 TimePoint now) noexcept {
   const std::chrono::duration<double> age =
       std::max(Duration::zero(), now - priority_class.last_refusal);
   priority_class.recent_refusals =
--- a/ibismux/admission/load_pool.h
+++ b/ibismux/admission/load_limiter.h
@@ -1,5 +1,5 @@
-#ifndef IBISMUX_ADMISSION_LOAD_POOL_H_
-#define IBISMUX_ADMISSION_LOAD_POOL_H_
+#ifndef IBISMUX_ADMISSION_LOAD_LIMITER_H_
+#define IBISMUX_ADMISSION_LOAD_LIMITER_H_
 
 #include <array>
 #include <cstdint>
@@ -24,16 +24,16 @@
 /// each short burst of their own requests.
 ///
 /// Thread safe.
-class LoadPool {
+class LoadLimiter {
  public:
-  explicit LoadPool(double initial_limit);
+  explicit LoadLimiter(double initial_limit);
 
   /// Takes a slot. @return Zero if one was free, otherwise the estimated time
   /// after which to retry.
-  [[nodiscard]] Duration enter(Priority priority, TimePoint now);
+  [[nodiscard]] Duration try_acquire(Priority priority, TimePoint now);
 
   /// Releases the slot of a request that did not run.
-  void leave(Priority priority);
+  void release_unused(Priority priority);
 
   /// Releases a slot and adjusts the limit by how the request ended.
   void finish(Priority priority,
@@ -73,4 +73,4 @@
 
 }  // namespace ibismux::admission
 
-#endif  // IBISMUX_ADMISSION_LOAD_POOL_H_
+#endif  // IBISMUX_ADMISSION_LOAD_LIMITER_H_
--- a/ibismux/admission/plan_table.cc
+++ b/ibismux/admission/plan_table.cc
@@ -67,27 +67,28 @@
  public:
   LimiterAssigner(const PlanSet& old, FleetRank rank) : old(old), rank(rank) {}
 
-  std::shared_ptr<LoadPool> pool(const std::string& service,
-                                 const LoadGroup& group) {
-    std::shared_ptr<LoadPool>& pool = this->pools[group.name];
-    if (pool == nullptr) {
+  std::shared_ptr<LoadLimiter> limiter(const std::string& service,
+                                       const LoadGroup& group) {
+    std::shared_ptr<LoadLimiter>& limiter = this->limiters[group.name];
+    if (limiter == nullptr) {
       const ServicePlan* previous = find_plan(this->old, service);
       // If a group has split, only one part keeps the limiter. If the parts
       // shared it, load on one would shed requests of the other, although they
       // no longer share a leaf.
-      pool = previous != nullptr &&
-                     this->reused.insert(previous->pool.get()).second
-                 ? previous->pool
-                 : std::make_shared<LoadPool>(initial_limit(group, this->rank));
+      limiter =
+          previous != nullptr &&
+                  this->reused.insert(previous->limiter.get()).second
+              ? previous->limiter
+              : std::make_shared<LoadLimiter>(initial_limit(group, this->rank));
     }
-    return pool;
+    return limiter;
   }
 
  private:
   const PlanSet& old;
   FleetRank rank;
-  std::map<std::string, std::shared_ptr<LoadPool>> pools;
-  std::set<const LoadPool*> reused;
+  std::map<std::string, std::shared_ptr<LoadLimiter>> limiters;
+  std::set<const LoadLimiter*> reused;
 };
 
 }  // namespace
@@ -120,7 +121,7 @@
     return old;
   }
   const FleetRank rank = rank_of(*next->members);
-  LimiterAssigner pools(*old, rank);
+  LimiterAssigner limiters(*old, rank);
   for (const auto& [name, group] : find_load_groups(*next->release)) {
     const release::ServiceView& service =
         *next->release->services.find(name)->second;
@@ -133,7 +134,7 @@
       plan->policies.back().refusal_counter =
           &this->metrics.refusal_counter(policy->name);
     }
-    plan->pool = pools.pool(name, group);
+    plan->limiter = limiters.limiter(name, group);
     plan->metrics = previous != nullptr && previous->priority == plan->priority
                         ? previous->metrics
                         : this->metrics.service(name, plan->priority);
--- a/ibismux/admission/plan_table.h
+++ b/ibismux/admission/plan_table.h
@@ -10,7 +10,7 @@
 #include "ibismux/admission/admission_metrics.h"
 #include "ibismux/admission/fleet_share.h"
 #include "ibismux/admission/limit_counters_table.h"
-#include "ibismux/admission/load_pool.h"
+#include "ibismux/admission/load_limiter.h"
 #include "ibismux/base/rcu_cell.h"
 #include "ibismux/membership/forward.h"
 #include "ibismux/release/forward.h"
@@ -31,7 +31,7 @@
 struct ServicePlan {
   Priority priority = Priority::kCatalogue;
   std::vector<PolicyPlan> policies;
-  std::shared_ptr<LoadPool> pool;
+  std::shared_ptr<LoadLimiter> limiter;
   std::shared_ptr<ServiceMetrics> metrics;
 };
 
--- a/tests/admission/adaptive_limit_test.cc
+++ b/tests/admission/adaptive_limit_test.cc
@@ -1,6 +1,6 @@
 #include "ibismux/admission/adaptive_limit.h"
 
-#include "ibismux/admission/load_pool.h"
+#include "ibismux/admission/load_limiter.h"
 #include "ibismux/admission/request_end.h"
 
 #include <criterion/criterion.h>
@@ -34,14 +34,16 @@
 
 /// Runs a hundred batches of three concurrent bench lookups that all end with
 /// `error` after `latency`.
-void run_batches_of_three(LoadPool& pool,
+void run_batches_of_three(LoadLimiter& limiter,
                           std::optional<ErrorKind> error,
                           Duration latency) {
   for (int i = 0; i < 300; ++i) {
-    cr_assert(pool.enter(Priority::kBench, at(30 * i)) == Duration::zero());
+    cr_assert(limiter.try_acquire(Priority::kBench, at(30 * i)) ==
+              Duration::zero());
     if (i % 3 == 2) {
       for (int j = 0; j < 3; ++j) {
-        pool.finish(Priority::kBench, latency, {error, waited(1)}, at(30 * i));
+        limiter.finish(Priority::kBench, latency, {error, waited(1)},
+                       at(30 * i));
       }
     }
   }
@@ -91,49 +93,53 @@
 
 // Failure: bench lookups are shed because editors, a lower class, overload the
 // leafs.
-Test(load_pool, a_slow_lower_class_does_not_lower_the_limit_of_a_higher_one) {
-  LoadPool pool(8);
+Test(load_limiter,
+     a_slow_lower_class_does_not_lower_the_limit_of_a_higher_one) {
+  LoadLimiter limiter(8);
   for (int i = 0; i < 200; ++i) {
     const TimePoint now = at(10 * i);
-    if (pool.enter(Priority::kEditor, now) == Duration::zero()) {
+    if (limiter.try_acquire(Priority::kEditor, now) == Duration::zero()) {
       const int stretch = i < 32 ? 1 : 40;
-      pool.finish(Priority::kEditor, kTypicalLatency * stretch,
-                  {std::nullopt, waited(stretch)}, now);
+      limiter.finish(Priority::kEditor, kTypicalLatency * stretch,
+                     {std::nullopt, waited(stretch)}, now);
     }
   }
-  cr_assert(pool.current_limit(Priority::kEditor) < 2);
-  cr_assert(pool.current_limit(Priority::kBench) == 8);
+  cr_assert(limiter.current_limit(Priority::kEditor) < 2);
+  cr_assert(limiter.current_limit(Priority::kBench) == 8);
   for (int i = 0; i < 8; ++i) {
-    cr_assert(pool.enter(Priority::kBench, at(3000)) == Duration::zero());
+    cr_assert(limiter.try_acquire(Priority::kBench, at(3000)) ==
+              Duration::zero());
   }
-  cr_assert(pool.enter(Priority::kEditor, at(3000)) > Duration::zero());
+  cr_assert(limiter.try_acquire(Priority::kEditor, at(3000)) >
+            Duration::zero());
 }
 
 // Failure: while leafs are down, quick failures raise the limit, and requests
 // are admitted that can only fail.
-Test(load_pool, quick_failures_do_not_raise_a_limit) {
-  LoadPool pool(4);
-  run_batches_of_three(pool, ErrorKind::kCoverageTooLow, milliseconds(1));
-  run_batches_of_three(pool, ErrorKind::kDeadlineExceeded, milliseconds(1));
-  run_batches_of_three(pool, ErrorKind::kCancelled, milliseconds(1));
-  cr_assert(pool.current_limit(Priority::kBench) == 4);
-  run_batches_of_three(pool, std::nullopt, kTypicalLatency);
-  cr_assert(pool.current_limit(Priority::kBench) > 4);
+Test(load_limiter, quick_failures_do_not_raise_a_limit) {
+  LoadLimiter limiter(4);
+  run_batches_of_three(limiter, ErrorKind::kCoverageTooLow, milliseconds(1));
+  run_batches_of_three(limiter, ErrorKind::kDeadlineExceeded, milliseconds(1));
+  run_batches_of_three(limiter, ErrorKind::kCancelled, milliseconds(1));
+  cr_assert(limiter.current_limit(Priority::kBench) == 4);
+  run_batches_of_three(limiter, std::nullopt, kTypicalLatency);
+  cr_assert(limiter.current_limit(Priority::kBench) > 4);
 }
 
-Test(load_pool, slow_failures_lower_a_limit) {
-  LoadPool pool(4);
+Test(load_limiter, slow_failures_lower_a_limit) {
+  LoadLimiter limiter(4);
   for (int i = 0; i < 200; ++i) {
-    if (pool.enter(Priority::kBench, at(100 * i)) == Duration::zero()) {
+    if (limiter.try_acquire(Priority::kBench, at(100 * i)) ==
+        Duration::zero()) {
       const bool slow = i > 50;
-      pool.finish(
+      limiter.finish(
           Priority::kBench, kTypicalLatency * (slow ? 50 : 1),
           {slow ? std::optional(ErrorKind::kDeadlineExceeded) : std::nullopt,
            waited(1)},
           at(100 * i + 50));
     }
   }
-  cr_assert(pool.current_limit(Priority::kBench) < 2);
+  cr_assert(limiter.current_limit(Priority::kBench) < 2);
 }
 
 }  // namespace
