--- a/ibismux/admission/pool_finder.cc
+++ b/ibismux/admission/load_group.cc
@@ -1,4 +1,4 @@
-#include "ibismux/admission/pool_finder.h"
+#include "ibismux/admission/load_group.h"
 
 #include <algorithm>
 #include <numeric>
--- a/ibismux/admission/pool_finder.h
+++ b/ibismux/admission/load_group.h
@@ -1,5 +1,5 @@
-#ifndef IBISMUX_ADMISSION_POOL_FINDER_H_
-#define IBISMUX_ADMISSION_POOL_FINDER_H_
+#ifndef IBISMUX_ADMISSION_LOAD_GROUP_H_
+#define IBISMUX_ADMISSION_LOAD_GROUP_H_
 
 #include <cstdint>
 #include <map>
@@ -25,4 +25,4 @@
 
 }  // namespace ibismux::admission
 
-#endif  // IBISMUX_ADMISSION_POOL_FINDER_H_
+#endif  // IBISMUX_ADMISSION_LOAD_GROUP_H_
--- a/ibismux/admission/plan_table.cc
+++ b/ibismux/admission/plan_table.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <set>
 
-#include "ibismux/admission/pool_finder.h"
+#include "ibismux/admission/load_group.h"
 #include "ibismux/base/text_hash.h"
 #include "ibismux/membership/membership_view.h"
 #include "ibismux/release/release.h"
