--- a/ibismux/admission/window_counter.cc
+++ b/ibismux/admission/sliding_window_counter.cc
@@ -1,19 +1,19 @@
-#include "ibismux/admission/window_counter.h"
+#include "ibismux/admission/sliding_window_counter.h"
 
 #include <algorithm>
 
-#include "ibismux/admission/sliding_log.h"
+#include "ibismux/admission/sliding_window_log.h"
 
 namespace ibismux::admission {
 
-WindowCounter::WindowCounter(Duration window)
+SlidingWindowCounter::SlidingWindowCounter(Duration window)
     // Rounded up, because narrower buckets would together cover less than the
     // window and drop requests too early.
     : width(std::max<Duration>(
           Duration(1),
           (window + Duration(kBucketCount - 1)) / kBucketCount)) {}
 
-Duration WindowCounter::wait(std::uint32_t limit, TimePoint now) {
+Duration SlidingWindowCounter::wait(std::uint32_t limit, TimePoint now) {
   this->advance(now);
   if (limit == 0) {
     return this->width * kBucketCount;
@@ -34,18 +34,18 @@
   return std::max(Duration(1), expiry - now.time_since_epoch());
 }
 
-void WindowCounter::record(TimePoint now) {
+void SlidingWindowCounter::record(TimePoint now) {
   this->advance(now);
   ++this->at(this->newest);
   ++this->total;
 }
 
-bool WindowCounter::idle(TimePoint now) {
+bool SlidingWindowCounter::idle(TimePoint now) {
   this->advance(now);
   return this->total == 0;
 }
 
-void WindowCounter::advance(TimePoint now) {
+void SlidingWindowCounter::advance(TimePoint now) {
   const std::int64_t current = now.time_since_epoch() / this->width;
   const std::int64_t steps = std::min(current - this->newest, kRingSize);
   for (std::int64_t i = 0; i < steps; ++i) {
@@ -59,9 +59,9 @@
 std::unique_ptr<RateMeter> make_rate_meter(std::uint32_t limit,
                                            Duration window) {
   if (limit <= kLargestExactLimit) {
-    return std::make_unique<SlidingLog>(window);
+    return std::make_unique<SlidingWindowLog>(window);
   }
-  return std::make_unique<WindowCounter>(window);
+  return std::make_unique<SlidingWindowCounter>(window);
 }
 
 }  // namespace ibismux::admission
--- a/ibismux/admission/window_counter.h
+++ b/ibismux/admission/sliding_window_counter.h
@@ -1,5 +1,5 @@
-#ifndef IBISMUX_ADMISSION_WINDOW_COUNTER_H_
-#define IBISMUX_ADMISSION_WINDOW_COUNTER_H_
+#ifndef IBISMUX_ADMISSION_SLIDING_WINDOW_COUNTER_H_
+#define IBISMUX_ADMISSION_SLIDING_WINDOW_COUNTER_H_
 
 #include <array>
 #include <cstdint>
@@ -11,9 +11,9 @@
 /// Counts requests in buckets of 1/64 of the window, in fixed memory. A bucket
 /// counts until its end has left the window, so the limit is never exceeded,
 /// and at most 1/64 of it goes unused.
-class WindowCounter final : public RateMeter {
+class SlidingWindowCounter final : public RateMeter {
  public:
-  explicit WindowCounter(Duration window);
+  explicit SlidingWindowCounter(Duration window);
 
   [[nodiscard]] Duration wait(std::uint32_t limit, TimePoint now) override;
   void record(TimePoint now) override;
@@ -40,4 +40,4 @@
 
 }  // namespace ibismux::admission
 
-#endif  // IBISMUX_ADMISSION_WINDOW_COUNTER_H_
+#endif  // IBISMUX_ADMISSION_SLIDING_WINDOW_COUNTER_H_
--- a/ibismux/admission/sliding_log.cc
+++ b/ibismux/admission/sliding_window_log.cc
@@ -1,10 +1,10 @@
-#include "ibismux/admission/sliding_log.h"
+#include "ibismux/admission/sliding_window_log.h"
 
 #include <algorithm>
 
 namespace ibismux::admission {
 
-Duration SlidingLog::wait(std::uint32_t limit, TimePoint now) {
+Duration SlidingWindowLog::wait(std::uint32_t limit, TimePoint now) {
   this->remove_expired(now);
   if (limit == 0) {
     return this->window;
@@ -18,19 +18,19 @@
   return this->times[excess] + this->window - now;
 }
 
-void SlidingLog::record(TimePoint now) {
+void SlidingWindowLog::record(TimePoint now) {
   // Threads read the clock before they lock, so times may arrive out of order.
   // In an unsorted log, entries would be kept after they have left the window.
   this->times.push_back(
       this->times.empty() ? now : std::max(now, this->times.back()));
 }
 
-bool SlidingLog::idle(TimePoint now) {
+bool SlidingWindowLog::idle(TimePoint now) {
   this->remove_expired(now);
   return this->times.empty();
 }
 
-void SlidingLog::remove_expired(TimePoint now) {
+void SlidingWindowLog::remove_expired(TimePoint now) {
   while (!this->times.empty() && now - this->times.front() >= this->window) {
     this->times.pop_front();
   }
--- a/ibismux/admission/sliding_log.h
+++ b/ibismux/admission/sliding_window_log.h
@@ -1,5 +1,5 @@
-#ifndef IBISMUX_ADMISSION_SLIDING_LOG_H_
-#define IBISMUX_ADMISSION_SLIDING_LOG_H_
+#ifndef IBISMUX_ADMISSION_SLIDING_WINDOW_LOG_H_
+#define IBISMUX_ADMISSION_SLIDING_WINDOW_LOG_H_
 
 #include <deque>
 
@@ -9,9 +9,9 @@
 
 /// Keeps the timestamp of each request in the window. Exact; memory grows with
 /// the limit.
-class SlidingLog final : public RateMeter {
+class SlidingWindowLog final : public RateMeter {
  public:
-  explicit SlidingLog(Duration window) : window(window) {}
+  explicit SlidingWindowLog(Duration window) : window(window) {}
 
   [[nodiscard]] Duration wait(std::uint32_t limit, TimePoint now) override;
   void record(TimePoint now) override;
@@ -26,4 +26,4 @@
 
 }  // namespace ibismux::admission
 
-#endif  // IBISMUX_ADMISSION_SLIDING_LOG_H_
+#endif  // IBISMUX_ADMISSION_SLIDING_WINDOW_LOG_H_
--- a/tests/admission/rate_meter_test.cc
+++ b/tests/admission/rate_meter_test.cc
@@ -3,8 +3,8 @@
 #include <pcg_random.hpp>
 #include <vector>
 
-#include "ibismux/admission/sliding_log.h"
-#include "ibismux/admission/window_counter.h"
+#include "ibismux/admission/sliding_window_counter.h"
+#include "ibismux/admission/sliding_window_log.h"
 
 #include <criterion/criterion.h>
 
@@ -47,12 +47,12 @@
 }
 
 Test(rate_meter, an_exact_log_admits_exactly_the_limit) {
-  SlidingLog log(milliseconds(1000));
+  SlidingWindowLog log(milliseconds(1000));
   cr_assert(max_in_window(admitted_by(log, 40), milliseconds(1000)) == 40);
 }
 
 Test(rate_meter, a_counter_stays_close_below_the_limit) {
-  WindowCounter counter(milliseconds(1000));
+  SlidingWindowCounter counter(milliseconds(1000));
   const std::size_t most =
       max_in_window(admitted_by(counter, 300), milliseconds(1000));
   cr_assert(most <= 300);
@@ -60,7 +60,7 @@
 }
 
 Test(rate_meter, the_wait_ends_when_enough_requests_have_left_the_window) {
-  SlidingLog log(milliseconds(1000));
+  SlidingWindowLog log(milliseconds(1000));
   log.record(at(100));
   log.record(at(300));
   cr_assert(log.wait(2, at(400)) == milliseconds(700));
@@ -69,7 +69,7 @@
 }
 
 Test(rate_meter, a_counter_admits_a_request_after_its_wait) {
-  WindowCounter counter(milliseconds(1000));
+  SlidingWindowCounter counter(milliseconds(1000));
   for (int i = 0; i < 300; ++i) {
     counter.record(at(i));
   }
@@ -80,8 +80,8 @@
 }
 
 Test(rate_meter, a_limit_of_zero_admits_nothing) {
-  SlidingLog log(milliseconds(1000));
-  WindowCounter counter(milliseconds(1000));
+  SlidingWindowLog log(milliseconds(1000));
+  SlidingWindowCounter counter(milliseconds(1000));
   cr_assert(log.wait(0, at(5)) == milliseconds(1000));
   cr_assert(counter.wait(0, at(5)) >= milliseconds(1000));
 }
@@ -89,7 +89,7 @@
 // Failure: a timestamp older than the newest one leaves the window early, and a
 // request is admitted although the window is full.
 Test(rate_meter, timestamps_out_of_order_count_for_the_whole_window) {
-  SlidingLog log(milliseconds(100));
+  SlidingWindowLog log(milliseconds(100));
   log.record(at(50));
   log.record(at(40));
   cr_assert(log.wait(2, at(145)) == milliseconds(5));
