--- a/ibismux/concurrency/aimd_limit.cc
+++ b/ibismux/concurrency/aimd_limit.cc
@@ -41,7 +41,7 @@
   this->current = 1.0;
 }
 
-void AimdLimit::declare(std::size_t slots) {
+void AimdLimit::set_slots(std::size_t slots) {
   const double new_slots = static_cast<double>(std::max<std::size_t>(slots, 1));
   if (new_slots == this->slots) {
     return;
--- a/ibismux/concurrency/aimd_limit.h
+++ b/ibismux/concurrency/aimd_limit.h
@@ -23,7 +23,7 @@
                  TimePoint now) override;
   void on_overload(TimePoint now) override;
   void on_cold() override;
-  void declare(std::size_t slots) override;
+  void set_slots(std::size_t slots) override;
 
  private:
   static constexpr int kLeafTimeSamples = 16;
--- a/ibismux/concurrency/concurrency_limit.h
+++ b/ibismux/concurrency/concurrency_limit.h
@@ -34,7 +34,7 @@
 
   /// Sets the number of slots that the operator declared. A change restarts the
   /// limit at that number.
-  virtual void declare(std::size_t slots) = 0;
+  virtual void set_slots(std::size_t slots) = 0;
 };
 
 }  // namespace ibismux::concurrency
--- a/ibismux/dispatch/call_window.h
+++ b/ibismux/dispatch/call_window.h
@@ -21,7 +21,7 @@
 class CallWindow {
  public:
   /// The most that the window may grow to: the links that the daemon may have.
-  void set_most(std::size_t most) { this->limit.declare(most); }
+  void set_most(std::size_t most) { this->limit.set_slots(most); }
 
   /// At least 1.
   [[nodiscard]] std::size_t size() const noexcept {
--- a/ibismux/gateway/leaf_capacity.cc
+++ b/ibismux/gateway/leaf_capacity.cc
@@ -27,7 +27,7 @@
       health(settings, budget) {}
 
 void LeafCapacity::declare(std::size_t slots, bool leaving) {
-  this->bound->declare(slots);
+  this->bound->set_slots(slots);
   this->health.declare(leaving);
 }
 
