--- a/ibismux/admission/admission.cc
+++ b/ibismux/admission/admission.cc
@@ -15,9 +15,9 @@
 
 using std::chrono::milliseconds;
 
-/// Counts kept for callers and services at once. At the largest they take
-/// about 4 KB each.
-constexpr std::size_t kMostGroups = 4096;
+/// Maximum number of counter sets kept for callers and services. The largest
+/// set takes about 4 KB.
+constexpr std::size_t kMaxCounterSets = 4096;
 constexpr milliseconds kNotReadyRetry{1000};
 
 tl::unexpected<Error> refuse(ErrorKind kind,
@@ -30,30 +30,30 @@
   return tl::unexpected<Error>(std::move(error));
 }
 
-/// Slots taken so far by one request, given back together.
+/// The slots that one request holds; they are released together.
 class Slots {
  public:
-  Slots(std::shared_ptr<const ServicePlan> plan, TimePoint since)
-      : plan(std::move(plan)), since(since) {}
+  Slots(std::shared_ptr<const ServicePlan> plan, TimePoint start)
+      : plan(std::move(plan)), start(start) {}
 
-  /// Takes a slot of the load group, then of each policy. On a refusal nothing
-  /// stays taken.
+  /// Takes a slot of the load group, then one of each policy. If any is
+  /// refused, releases those already taken and returns the refusal.
   [[nodiscard]] std::optional<tl::unexpected<Error>> take(
       std::vector<LimitUse> wanted) {
     const Duration wait =
-        this->plan->pool->enter(this->plan->priority, this->since);
+        this->plan->limiter->try_acquire(this->plan->priority, this->start);
     if (wait > Duration::zero()) {
-      this->plan->metrics->decided(Decision::kShed);
+      this->plan->metrics->record_decision(Decision::kShed);
       return refuse(ErrorKind::kOverloaded, "shed: leafs are overloaded", wait);
     }
     for (LimitUse& use : wanted) {
-      if (!use.group->take_slot(*use.share)) {
-        const Duration until = use.group->slot_wait();
-        this->plan->policies[this->uses.size()].refused->Increment();
+      if (!use.counters->take_slot(*use.share)) {
+        const Duration retry_after = use.counters->estimated_slot_wait();
+        this->plan->policies[this->uses.size()].refusal_counter->Increment();
         this->cancel();
-        this->plan->metrics->decided(Decision::kConcurrencyLimited);
+        this->plan->metrics->record_decision(Decision::kConcurrencyLimited);
         return refuse(ErrorKind::kRateLimited, "too many requests at once",
-                      until);
+                      retry_after);
       }
       this->uses.push_back(std::move(use));
     }
@@ -64,28 +64,28 @@
     return this->uses;
   }
 
-  /// Gives all back: the request did not go on.
+  /// Releases all slots of a request that did not run.
   void cancel() {
-    this->plan->pool->leave(this->plan->priority);
+    this->plan->limiter->release_unused(this->plan->priority);
     this->release_groups(std::nullopt);
   }
 
-  /// Gives all back: the request has ended.
+  /// Releases all slots of a request that has ended.
   void finish(const RequestEnd& end, TimePoint now) {
-    const Duration latency = std::max(Duration::zero(), now - this->since);
-    this->plan->pool->finish(this->plan->priority, latency, end, now);
+    const Duration latency = std::max(Duration::zero(), now - this->start);
+    this->plan->limiter->finish(this->plan->priority, latency, end, now);
     this->release_groups(latency);
   }
 
  private:
-  void release_groups(std::optional<Duration> held) {
+  void release_groups(std::optional<Duration> hold_time) {
     for (const LimitUse& use : std::exchange(this->uses, {})) {
-      use.group->give_slot_back(held);
+      use.counters->release_slot(hold_time);
     }
   }
 
   std::shared_ptr<const ServicePlan> plan;
-  TimePoint since;
+  TimePoint start;
   std::vector<LimitUse> uses;
 };
 
@@ -97,8 +97,8 @@
        const RcuCell<membership::MembershipView>& members,
        prometheus::Registry& metrics)
       : metrics(metrics),
-        groups(kMostGroups),
-        plans(releases, members, this->groups, this->metrics) {}
+        counters_table(kMaxCounterSets),
+        plans(releases, members, this->counters_table, this->metrics) {}
 
   Result<Permit> admit(const std::string& service,
                        const std::string& caller,
@@ -110,7 +110,7 @@
                                 TimePoint now);
 
   AdmissionMetrics metrics;
-  GroupTable groups;
+  LimitCountersTable counters_table;
   PlanTable plans;
 };
 
@@ -133,13 +133,13 @@
   const RateVerdict rates = check_and_record(slots->held(), now);
   if (rates.wait > Duration::zero()) {
     slots->cancel();
-    plan->policies[rates.binding].refused->Increment();
-    plan->metrics->decided(Decision::kRateLimited);
+    plan->policies[rates.binding].refusal_counter->Increment();
+    plan->metrics->record_decision(Decision::kRateLimited);
     return refuse(ErrorKind::kRateLimited, "too many requests", rates.wait);
   }
-  plan->metrics->decided(Decision::kAdmitted);
-  plan->metrics->load(plan->pool->current_limit(plan->priority),
-                      plan->pool->in_flight());
+  plan->metrics->record_decision(Decision::kAdmitted);
+  plan->metrics->set_load(plan->limiter->current_limit(plan->priority),
+                          plan->limiter->in_flight());
   return Permit(
       [slots](const RequestEnd& end, TimePoint at) { slots->finish(end, at); });
 }
@@ -150,9 +150,9 @@
   std::vector<LimitUse> uses;
   uses.reserve(plan.policies.size());
   for (const PolicyPlan& policy : plan.policies) {
-    uses.push_back({policy.group != nullptr
-                        ? policy.group
-                        : this->groups.get(*policy.policy, caller, now),
+    uses.push_back({policy.counters != nullptr
+                        ? policy.counters
+                        : this->counters_table.get(*policy.policy, caller, now),
                     policy.share});
   }
   return uses;
--- a/ibismux/admission/plan_table.cc
+++ b/ibismux/admission/plan_table.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <set>
 
-#include "ibismux/admission/pool_finder.h"
+#include "ibismux/admission/load_group.h"
 #include "ibismux/base/text_hash.h"
 #include "ibismux/membership/membership_view.h"
 #include "ibismux/release/release.h"
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// A load group starts with room for so many times the declared slots, and
-/// finds its own limit from there.
-constexpr double kInitialDepth = 4;
-constexpr double kLeastInitial = 4;
+/// The adaptive limit of a load group starts at this multiple of this daemon's
+/// share of the declared slots.
+constexpr double kInitialLimitFactor = 4;
+constexpr double kMinInitialLimit = 4;
 
 FleetRank rank_of(const membership::MembershipView& view) {
   FleetRank rank{0, static_cast<std::uint32_t>(view.serving())};
@@ -40,61 +40,66 @@
 PolicyPlan policy_plan(std::shared_ptr<const release::LimitPolicy> policy,
                        const std::string& service,
                        FleetRank rank,
-                       GroupTable& groups,
+                       LimitCountersTable& counters_table,
                        TimePoint now) {
   PolicyPlan plan;
   plan.share = std::make_shared<const LimitShare>(share_of(*policy, rank));
   if (policy->scope == release::LimitPolicy::Scope::kService) {
-    plan.group = groups.get(*policy, service, now);
+    plan.counters = counters_table.get(*policy, service, now);
   }
   plan.policy = std::move(policy);
   return plan;
 }
 
 double initial_limit(const LoadGroup& group, FleetRank rank) {
-  return std::max(kLeastInitial, kInitialDepth * group.slots / rank.count);
+  return std::max(kMinInitialLimit,
+                  kInitialLimitFactor * group.slots / rank.count);
 }
 
-const ServicePlan* plan_in(const PlanSet& set, const std::string& service) {
+const ServicePlan* find_plan(const PlanSet& set, const std::string& service) {
   const auto found = set.services.find(service);
   return found == set.services.end() ? nullptr : found->second.get();
 }
 
-/// Gives each load group the pool that its services had, with what it learnt.
-class PoolChooser {
+/// Assigns each load group the limiter that its services had before, so that
+/// its learned limits are kept.
+class LimiterAssigner {
  public:
-  PoolChooser(const PlanSet& old, FleetRank rank) : old(old), rank(rank) {}
-
-  std::shared_ptr<LoadPool> pool(const std::string& service,
-                                 const LoadGroup& group) {
-    std::shared_ptr<LoadPool>& pool = this->pools[group.name];
-    if (pool == nullptr) {
-      const ServicePlan* before = plan_in(this->old, service);
-      // Of a group that has split only one half may keep the pool: in one pool
-      // the halves would shed each other, though they share no leaf any more.
-      pool = before != nullptr && this->taken.insert(before->pool.get()).second
-                 ? before->pool
-                 : std::make_shared<LoadPool>(initial_limit(group, this->rank));
+  LimiterAssigner(const PlanSet& old, FleetRank rank) : old(old), rank(rank) {}
+
+  std::shared_ptr<LoadLimiter> limiter(const std::string& service,
+                                       const LoadGroup& group) {
+    std::shared_ptr<LoadLimiter>& limiter = this->limiters[group.name];
+    if (limiter == nullptr) {
+      const ServicePlan* previous = find_plan(this->old, service);
+      // If a group has split, only one part keeps the limiter. If the parts
+      // shared it, load on one would shed requests of the other, although they
+      // no longer share a leaf.
+      limiter =
+          previous != nullptr &&
+                  this->reused.insert(previous->limiter.get()).second
+              ? previous->limiter
+              : std::make_shared<LoadLimiter>(initial_limit(group, this->rank));
     }
-    return pool;
+    return limiter;
   }
 
  private:
   const PlanSet& old;
   FleetRank rank;
-  std::map<std::string, std::shared_ptr<LoadPool>> pools;
-  std::set<const LoadPool*> taken;
+  std::map<std::string, std::shared_ptr<LoadLimiter>> limiters;
+  std::set<const LoadLimiter*> reused;
 };
 
 }  // namespace
 
 PlanTable::PlanTable(const RcuCell<release::Release>& releases,
                      const RcuCell<membership::MembershipView>& members,
-                     GroupTable& groups,
+                     LimitCountersTable& counters_table,
                      AdmissionMetrics& metrics)
     : releases(releases),
       members(members),
-      groups(groups),
+      counters_table(counters_table),
       metrics(metrics),
       sets(std::make_shared<const PlanSet>()) {}
 
@@ -109,34 +114,35 @@
 std::shared_ptr<const PlanSet> PlanTable::rebuild(TimePoint now) {
   const std::lock_guard lock(this->mutex);
   std::shared_ptr<const PlanSet> old = this->sets.read();
-  auto fresh = std::make_shared<PlanSet>();
-  fresh->release = this->releases.read();
-  fresh->members = this->members.read();
-  if (old->release == fresh->release && old->members == fresh->members) {
+  auto next = std::make_shared<PlanSet>();
+  next->release = this->releases.read();
+  next->members = this->members.read();
+  if (old->release == next->release && old->members == next->members) {
     return old;
   }
-  const FleetRank rank = rank_of(*fresh->members);
-  PoolChooser pools(*old, rank);
-  for (const auto& [name, group] : find_load_groups(*fresh->release)) {
+  const FleetRank rank = rank_of(*next->members);
+  LimiterAssigner limiters(*old, rank);
+  for (const auto& [name, group] : find_load_groups(*next->release)) {
     const release::ServiceView& service =
-        *fresh->release->services.find(name)->second;
-    const ServicePlan* before = plan_in(*old, name);
+        *next->release->services.find(name)->second;
+    const ServicePlan* previous = find_plan(*old, name);
     auto plan = std::make_shared<ServicePlan>();
     plan->priority = service.spec.priority;
     for (const auto& policy : service.limits) {
       plan->policies.push_back(
-          policy_plan(policy, name, rank, this->groups, now));
-      plan->policies.back().refused = &this->metrics.refused_by(policy->name);
+          policy_plan(policy, name, rank, this->counters_table, now));
+      plan->policies.back().refusal_counter =
+          &this->metrics.refusal_counter(policy->name);
     }
-    plan->pool = pools.pool(name, group);
-    plan->metrics = before != nullptr && before->priority == plan->priority
-                        ? before->metrics
+    plan->limiter = limiters.limiter(name, group);
+    plan->metrics = previous != nullptr && previous->priority == plan->priority
+                        ? previous->metrics
                         : this->metrics.service(name, plan->priority);
-    fresh->services.emplace(name, std::move(plan));
+    next->services.emplace(name, std::move(plan));
   }
-  this->metrics.groups(this->groups.size());
-  this->sets.write(fresh);
-  return fresh;
+  this->metrics.set_table_size(this->counters_table.size());
+  this->sets.write(next);
+  return next;
 }
 
 }  // namespace ibismux::admission
--- a/ibismux/admission/plan_table.h
+++ b/ibismux/admission/plan_table.h
@@ -9,31 +9,34 @@
 
 #include "ibismux/admission/admission_metrics.h"
 #include "ibismux/admission/fleet_share.h"
-#include "ibismux/admission/group_table.h"
-#include "ibismux/admission/load_pool.h"
+#include "ibismux/admission/limit_counters_table.h"
+#include "ibismux/admission/load_limiter.h"
 #include "ibismux/base/rcu_cell.h"
 #include "ibismux/membership/forward.h"
 #include "ibismux/release/forward.h"
 
 namespace ibismux::admission {
 
-/// One policy as a service uses it.
+/// A limit policy as applied to one service.
 struct PolicyPlan {
   std::shared_ptr<const release::LimitPolicy> policy;
   std::shared_ptr<const LimitShare> share;
-  std::shared_ptr<LimitGroup> group;  ///< Null where each caller has its own.
-  prometheus::Counter* refused = nullptr;  ///< Counts what it refuses.
+  /// Null if each caller has its own.
+  std::shared_ptr<LimitCounters> counters;
+  /// Counts the requests that the policy refused.
+  prometheus::Counter* refusal_counter = nullptr;
 };
 
-/// All that a request to one service is checked against.
+/// Everything that a request to one service is checked against.
 struct ServicePlan {
   Priority priority = Priority::kCatalogue;
   std::vector<PolicyPlan> policies;
-  std::shared_ptr<LoadPool> pool;
+  std::shared_ptr<LoadLimiter> limiter;
   std::shared_ptr<ServiceMetrics> metrics;
 };
 
-/// The plans of one release for one place in the fleet. Immutable.
+/// The plans of all services for one release and one membership view.
+/// Immutable.
 struct PlanSet {
   std::shared_ptr<const release::Release> release;
   std::shared_ptr<const membership::MembershipView> members;
@@ -41,16 +44,16 @@
       services;
 };
 
-/// Works the plans out anew when the release or the members change, and keeps
-/// what was learnt and counted.
+/// Rebuilds the plans when the release or the members change. Adaptive limits,
+/// counters and metrics carry over.
 ///
 /// Thread safe.
 class PlanTable {
  public:
-  /// All outlive the table.
+  /// All references must outlive the table.
   PlanTable(const RcuCell<release::Release>& releases,
             const RcuCell<membership::MembershipView>& members,
-            GroupTable& groups,
+            LimitCountersTable& counters_table,
             AdmissionMetrics& metrics);
 
   [[nodiscard]] std::shared_ptr<const PlanSet> current(TimePoint now);
@@ -60,10 +63,10 @@
 
   const RcuCell<release::Release>& releases;
   const RcuCell<membership::MembershipView>& members;
-  GroupTable& groups;
+  LimitCountersTable& counters_table;
   AdmissionMetrics& metrics;
   RcuCell<PlanSet> sets;
-  std::mutex mutex;  ///< Held by the one that rebuilds.
+  std::mutex mutex;  ///< Serializes rebuilds.
 };
 
 }  // namespace ibismux::admission
--- a/ibismux/concurrency/aimd_limit.h
+++ b/ibismux/concurrency/aimd_limit.h
@@ -6,11 +6,11 @@
 
 namespace ibismux::concurrency {
 
-/// Additive increase, multiplicative decrease, between 1 and a ceiling.
+/// Additive increase, multiplicative decrease (AIMD), between 1 and a ceiling.
 ///
-/// Starts at the declared slots. A refusal for load lowers it once for all
-/// calls that were sent before it was lowered last, so that one burst of
-/// refusals counts once. It rises only while it is what holds calls back.
+/// Starts at the declared slots. A refusal because of overload lowers the limit
+/// unless it was lowered less than the mean leaf time ago, so that one burst of
+/// refusals lowers it once. It rises only while the calls in flight reach it.
 class AimdLimit : public ConcurrencyLimit {
  public:
   /// @param slots The leaf's declared slots; at least 1.
@@ -23,20 +23,20 @@
                  TimePoint now) override;
   void on_overload(TimePoint now) override;
   void on_cold() override;
-  void declare(std::size_t slots) override;
+  void set_slots(std::size_t slots) override;
 
  private:
-  static constexpr int kAverageOver = 16;
+  static constexpr int kLeafTimeSamples = 16;
 
-  [[nodiscard]] double most() const noexcept {
+  [[nodiscard]] double max_limit() const noexcept {
     return this->slots * this->ceiling;
   }
 
   double slots;
   double ceiling;
   double current;
-  MovingAverage typical{kAverageOver};  ///< Of leaf times.
-  TimePoint lowered_at{};               ///< When the limit was lowered last.
+  MovingAverage mean_leaf_time{kLeafTimeSamples};
+  TimePoint lowered_at{};  ///< When the limit was last lowered.
 };
 
 }  // namespace ibismux::concurrency
--- a/ibismux/dispatch/call_window.h
+++ b/ibismux/dispatch/call_window.h
@@ -22,7 +22,7 @@
 class CallWindow {
  public:
   /// The upper bound of the window: the links that the daemon may have.
-  void set_max(std::size_t max) { this->limit.declare(max); }
+  void set_max(std::size_t max) { this->limit.set_slots(max); }
 
   /// At least 1.
   [[nodiscard]] std::size_t size() const noexcept {
