--- a/ibismux/edge/configuration_feed.cc
+++ b/ibismux/edge/configuration_feed.cc
@@ -9,13 +9,13 @@
 ConfigurationFeed::ConfigurationFeed(std::string name,
                                      const ConfigurationDecoder& decoder,
                                      eventlog::EventLog& log,
-                                     Take take,
-                                     std::function<void()> on_back)
+                                     UpdateHandler on_update,
+                                     std::function<void()> on_recovery)
     : name(std::move(name)),
       decoder(decoder),
       log(log),
-      take(std::move(take)),
-      on_back(std::move(on_back)) {}
+      on_update(std::move(on_update)),
+      on_recovery(std::move(on_recovery)) {}
 
 void ConfigurationFeed::on_listing(const store::Listing& listing) {
   for (const store::StoredObject& object : listing.objects) {
@@ -24,8 +24,8 @@
 }
 
 void ConfigurationFeed::on_change(const store::WatchBatch::Event& event) {
-  // A configuration that was deleted stays in force: requests are better
-  // served by the last one than by none.
+  // A deleted configuration stays in force, because serving requests with the
+  // last configuration is better than serving none.
   if (!event.removed) {
     this->read(event.object);
   }
@@ -42,7 +42,7 @@
         .with("reason", table.error().message);
     return;
   }
-  this->take(*std::move(table));
+  this->on_update(*std::move(table));
 }
 
 }  // namespace ibismux::edge
--- a/ibismux/edge/configuration_feed.h
+++ b/ibismux/edge/configuration_feed.h
@@ -11,27 +11,29 @@
 
 namespace ibismux::edge {
 
-/// Reads versions of the configuration as they come. One that can't be read is
-/// kept out and named in the log; the last good one stays in force.
+/// Decodes each new version of the configuration and passes it to a handler. A
+/// version that can't be decoded is logged and ignored; the last valid one
+/// stays in force.
 ///
 /// Not thread safe.
 class ConfigurationFeed : public feed::FeedObserver {
  public:
-  using Take =
+  using UpdateHandler =
       std::function<void(std::shared_ptr<const routing::RouteTable> table)>;
 
-  /// @param name Of the object that holds the configuration.
-  /// @param decoder, log Outlive this.
-  /// @param on_back Called when the store answers again.
+  /// @param name Name of the object that holds the configuration.
+  /// @param decoder, log Must outlive this.
+  /// @param on_update Called with each version that could be decoded.
+  /// @param on_recovery Called when the store answers again.
   ConfigurationFeed(std::string name,
                     const ConfigurationDecoder& decoder,
                     eventlog::EventLog& log,
-                    Take take,
-                    std::function<void()> on_back);
+                    UpdateHandler on_update,
+                    std::function<void()> on_recovery);
 
   void on_listing(const store::Listing& listing) override;
   void on_change(const store::WatchBatch::Event& event) override;
-  void on_regained() override { this->on_back(); }
+  void on_regained() override { this->on_recovery(); }
 
  private:
   void read(const store::StoredObject& object);
@@ -39,8 +41,8 @@
   const std::string name;
   const ConfigurationDecoder& decoder;
   eventlog::EventLog& log;
-  const Take take;
-  const std::function<void()> on_back;
+  const UpdateHandler on_update;
+  const std::function<void()> on_recovery;
 };
 
 }  // namespace ibismux::edge
--- a/ibismux/edge/edge_settings.cc
+++ b/ibismux/edge/edge_settings.cc
@@ -17,13 +17,12 @@
 using Seconds = settings::SecondsField<EdgeSettings>;
 using TextMap = settings::TextMapField<EdgeSettings>;
 
-// What the platform tells (rates, budgets, times) is worked out there and may
-// have a fraction or grow with the fleet, so these bounds only keep out what
-// can't be meant.
-constexpr double kMostRate = 1e9;   // Calls a second.
-constexpr double kMostSlack = 1e9;  // Calls.
-constexpr double kMostRatio = 100;  // Repeats for each request.
-constexpr double kMostLink = 1e9;   // Mbit/s.
+// The platform computes rates, budgets and times; they may be fractional or
+// grow with the fleet. These bounds therefore only reject implausible values.
+constexpr double kMaxCallsPerSecond = 1e9;  // Calls per second.
+constexpr double kMaxSlackCalls = 1e9;      // Calls.
+constexpr double kMaxRepeatRatio = 100;     // Repeats per request.
+constexpr double kMaxLinkMbps = 1e9;        // Mbit/s.
 
 const std::array kFields = {
     Key{"member", "Name of this host.",
@@ -36,66 +35,71 @@
         TextMap{&EdgeSettings::zone_regions}},
 
     Key{"host.link_mbps",
-        "Width of this host's network link, in Mbit/s; 0: not known, and "
-        "queries are neither handed over nor taken over.",
-        Real{&EdgeSettings::link_mbps, 0, kMostLink}},
+        "Bandwidth of this host's network link, in Mbit/s. 0: unknown; "
+        "queries are then neither delegated to peers nor taken over from them.",
+        Real{&EdgeSettings::link_mbps, 0, kMaxLinkMbps}},
 
-    Key{"caller.endpoint", "Where callers connect.",
+    Key{"caller.endpoint", "Address on which this daemon accepts callers.",
         Text{&EdgeSettings::caller_endpoint, TextForm::kEndpoint}, true},
     Key{"ready.endpoint",
-        "Where the balancer asks whether this daemon takes callers.",
+        "Address at which the load balancer checks whether this daemon accepts "
+        "callers.",
         Text{&EdgeSettings::ready_endpoint, TextForm::kEndpoint}, true},
-    Key{"metrics.endpoint", "Where metrics are served, as text.",
+    Key{"metrics.endpoint", "Address at which metrics are served as text.",
         Text{&EdgeSettings::metrics_endpoint, TextForm::kEndpoint}},
 
     Key{"fleet.endpoint",
-        "Where the other daemons reach this one; empty: it goes alone.",
+        "Address at which other daemons reach this one. Empty: it has no "
+        "peers.",
         Text{&EdgeSettings::peer_endpoint, TextForm::kEndpointOrNone}},
     Key{"fleet.hosts",
-        "How many daemons to assume until they have been met; divides "
-        "what leafs and services bear.",
+        "Number of daemons to assume until they have been discovered. The load "
+        "that leafs and services tolerate is divided by it.",
         Number{&EdgeSettings::hosts, 1, 10'000}},
     Key{"fleet.watchers",
-        "Daemons of each zone that follow the store and pass its updates on.",
+        "Daemons per zone that watch the store and pass its updates on.",
         Number{&EdgeSettings::watchers, 1, 100}},
 
     Key{"fleet.first_start",
-        "The whole fleet starts for the first time, without callers yet: leave "
-        "it to a few to read the store, and learn from them.",
+        "The whole fleet starts for the first time, without callers yet: let a "
+        "few daemons read the store, and get its contents from them.",
         Flag{&EdgeSettings::first_start}},
 
-    Key{"store.endpoint", "The platform's object store.",
+    Key{"store.endpoint", "Address of the platform's object store.",
         Text{&EdgeSettings::store_endpoint, TextForm::kEndpoint}, true},
     Key{"store.fleet_reads_per_second",
-        "Reads that all daemons together may send. The same on all daemons.",
-        Real{&EdgeSettings::fleet_reads_per_second, 0, kMostRate}},
+        "Reads that all daemons together may send. Must be the same on all "
+        "daemons.",
+        Real{&EdgeSettings::fleet_reads_per_second, 0, kMaxCallsPerSecond}},
     Key{"store.fleet_writes_per_second",
-        "Writes that all daemons together may send. The same on all daemons.",
-        Real{&EdgeSettings::fleet_writes_per_second, 0, kMostRate}},
+        "Writes that all daemons together may send. Must be the same on all "
+        "daemons.",
+        Real{&EdgeSettings::fleet_writes_per_second, 0, kMaxCallsPerSecond}},
     Key{"store.watch_wait_ms", "How long a watch without changes stays open.",
         Millis{&EdgeSettings::watch_wait, milliseconds(100),
                milliseconds(30'000)}},
     Key{"store.change_pause_ms",
-        "After a change: how long further ones may gather before the next "
-        "call.",
+        "Pause after a change before the next call, so that it returns several "
+        "changes at once.",
         Millis{&EdgeSettings::change_pause, milliseconds(0),
                milliseconds(2000)}},
     Key{"store.check_interval_ms",
-        "How often a cheap read checks that the store still answers.",
+        "Interval of the cheap reads that check whether the store answers.",
         Millis{&EdgeSettings::check_interval, milliseconds(100),
                milliseconds(60'000)}},
 
     Key{"repeats.ratio",
-        "Extra arrivals that a service bears from all daemons, as a share of "
-        "its requests.",
-        Real{&EdgeSettings::repeat_ratio, 0, kMostRatio}},
+        "Repeats of requests that a service tolerates from all daemons, "
+        "as a share of its requests.",
+        Real{&EdgeSettings::repeat_ratio, 0, kMaxRepeatRatio}},
     Key{"repeats.slack",
-        "Extra arrivals that a service bears besides, in one window of "
-        "seconds, from all daemons.",
-        Real{&EdgeSettings::repeat_slack, 0, kMostSlack}},
+        "Repeats of requests that a service tolerates in addition to that "
+        "share, "
+        "from all daemons together, in one window of seconds.",
+        Real{&EdgeSettings::repeat_slack, 0, kMaxSlackCalls}},
     Key{"leaf.remote_cost",
-        "What a leaf of another zone must be better by, in times of what a "
-        "call usually takes.",
+        "How much faster a leaf of another zone must be to be preferred, as a "
+        "multiple of the usual duration of a call.",
         Real{&EdgeSettings::remote_cost, 0, 10}},
 
     Key{"policy.hedge",
@@ -110,48 +114,50 @@
     Key{"policy.prefer_own_zone", "Prefer leafs of this daemon's zone.",
         Flag{&EdgeSettings::prefer_own_zone}},
     Key{"policy.zone_reports",
-        "Share what is seen of leafs with the daemons of the zone.",
+        "Exchange reports of slow and failing leafs with daemons of the zone.",
         Flag{&EdgeSettings::zone_reports}},
     Key{"policy.staggered_memory",
-        "Let daemons forget a slow leaf one after the other.",
+        "Let daemons forget reports of a slow leaf one after the other.",
         Flag{&EdgeSettings::staggered_memory}},
     Key{"policy.use_leaf_load",
-        "Take leafs to be as loaded as they have just said.",
+        "Take recent load reports of the leafs into account.",
         Flag{&EdgeSettings::use_leaf_load}},
-    Key{"policy.eject", "Leave out leafs that lose calls or can't be dialled.",
+    Key{"policy.eject",
+        "Exclude leafs for a while that lose calls or can't be connected to.",
         Flag{&EdgeSettings::eject}},
     Key{"policy.learn_window",
-        "Let a leaf have as many calls as it answers without a queue.",
+        "Limit the calls at a leaf to what it answers without queueing.",
         Flag{&EdgeSettings::learn_window}},
-    Key{"policy.refuse_early", "Refuse requests that queues would make late.",
+    Key{"policy.refuse_early", "Refuse requests that queueing would make late.",
         Flag{&EdgeSettings::refuse_early}},
     Key{"policy.partial_answers",
-        "Answer queries without their last shards rather than late.",
+        "Answer queries without their slowest shards rather than late.",
         Flag{&EdgeSettings::partial_answers}},
     Key{"policy.open_ahead", "Open links to leafs before calls need them.",
         Flag{&EdgeSettings::open_ahead}},
     Key{"policy.delegate_queries",
-        "Have queries over many shards gathered by a peer of the zone whose "
-        "link is much wider.",
+        "Have queries over many shards gathered by a peer of the zone that has "
+        "much more bandwidth.",
         Flag{&EdgeSettings::delegate_queries}},
-    Key{"policy.weigh_cold", "Take leafs that have just started to be slower.",
+    Key{"policy.weigh_cold",
+        "Assume that leafs that have just started answer more slowly.",
         Flag{&EdgeSettings::weigh_cold}},
 
     Key{"stop.limit_s", "On SIGTERM: the longest wait for requests in flight.",
         Seconds{&EdgeSettings::stop_limit, milliseconds(0),
                 milliseconds(600'000)}},
     Key{"stop.leave_notice_ms",
-        "On SIGTERM: how long new callers are still served, while the balancer "
-        "notices.",
+        "On SIGTERM: how long new callers are still served, until the load "
+        "balancer stops sending them.",
         Millis{&EdgeSettings::leave_notice, milliseconds(0),
                milliseconds(60'000)}},
 
-    Key{"log.ordinary_per_second", "Lines about requests that went well.",
+    Key{"log.ordinary_per_second", "Log lines about successful requests.",
         Number{&EdgeSettings::log_ordinary, 1, 100'000}},
-    Key{"log.failures_per_second", "Lines about requests that didn't.",
+    Key{"log.failures_per_second", "Log lines about failed requests.",
         Number{&EdgeSettings::log_failures, 1, 100'000}},
     Key{"log.beliefs_per_second",
-        "Lines about what the daemon holds to be true of leafs, store and "
+        "Log lines about changes in the known state of leafs, store and "
         "configuration.",
         Number{&EdgeSettings::log_beliefs, 1, 100'000}},
 };
--- a/ibismux/edge/edge_settings.h
+++ b/ibismux/edge/edge_settings.h
@@ -12,12 +12,12 @@
 
 namespace ibismux::edge {
 
-/// Everything an edge daemon reads from its settings file. `edge_settings.cc`
-/// gives each key's meaning, bounds and default.
+/// The settings file of an edge daemon. `edge_settings.cc` defines the meaning
+/// and bounds of each key; the defaults are the initial values here.
 struct EdgeSettings : dispatch::DispatchPolicy {
   using Millis = std::chrono::milliseconds;
 
-  /// @name Who this daemon is
+  /// @name Identity of this daemon
   /// @{
   std::string member;
   std::string zone;
@@ -25,7 +25,7 @@
   double link_mbps = 0;
   /// @}
 
-  /// @name Where it listens
+  /// @name Endpoints this daemon listens on
   /// @{
   std::string caller_endpoint;
   std::string ready_endpoint;
@@ -34,7 +34,7 @@
 
   /// @name The other daemons
   /// @{
-  std::string peer_endpoint;  ///< Empty: this daemon goes alone.
+  std::string peer_endpoint;  ///< Empty: this daemon has no peers.
   std::uint32_t hosts = 10;
   std::uint32_t watchers = 1;
   bool first_start = false;
@@ -50,20 +50,20 @@
   Millis check_interval{1000};
   /// @}
 
-  /// @name Dealing with leafs
+  /// @name Calls to leafs
   /// @{
   double repeat_ratio = 0.2;
   double repeat_slack = 50;
   double remote_cost = 1.0;
   /// @}
 
-  /// @name Stopping
+  /// @name Shutdown
   /// @{
   Millis stop_limit{6000};
   Millis leave_notice{2500};
   /// @}
 
-  /// @name Logging, lines a second
+  /// @name Logging, in lines per second
   /// @{
   std::uint32_t log_ordinary = 20;
   std::uint32_t log_failures = 200;
@@ -71,7 +71,7 @@
   /// @}
 };
 
-/// Every key there is, group by group. Thread safe.
+/// All keys of the settings file, by group. Thread safe.
 [[nodiscard]] std::span<const settings::Field<EdgeSettings>>
 edge_fields() noexcept;
 
--- a/ibismux/edge/evacuation_feed.cc
+++ b/ibismux/edge/evacuation_feed.cc
@@ -4,33 +4,34 @@
 
 namespace ibismux::edge {
 
-EvacuationFeed::EvacuationFeed(Take take, std::function<void()> on_back)
-    : take(std::move(take)), on_back(std::move(on_back)) {}
+EvacuationFeed::EvacuationFeed(UpdateHandler on_update,
+                               std::function<void()> on_recovery)
+    : on_update(std::move(on_update)), on_recovery(std::move(on_recovery)) {}
 
 void EvacuationFeed::on_listing(const store::Listing& listing) {
-  ZoneNames fresh;
+  ZoneNames updated;
   for (const store::StoredObject& object : listing.objects) {
-    fresh.insert(object.name);
+    updated.insert(object.name);
   }
-  this->put_in_force(std::move(fresh));
+  this->update_zones(std::move(updated));
 }
 
 void EvacuationFeed::on_change(const store::WatchBatch::Event& event) {
-  ZoneNames fresh = this->zones;
+  ZoneNames updated = this->zones;
   if (event.removed) {
-    fresh.erase(event.object.name);
+    updated.erase(event.object.name);
   } else {
-    fresh.insert(event.object.name);
+    updated.insert(event.object.name);
   }
-  this->put_in_force(std::move(fresh));
+  this->update_zones(std::move(updated));
 }
 
-void EvacuationFeed::put_in_force(ZoneNames fresh) {
-  if (fresh == this->zones) {
+void EvacuationFeed::update_zones(ZoneNames updated) {
+  if (updated == this->zones) {
     return;
   }
-  this->zones = std::move(fresh);
-  this->take(this->zones);
+  this->zones = std::move(updated);
+  this->on_update(this->zones);
 }
 
 }  // namespace ibismux::edge
--- a/ibismux/edge/evacuation_feed.h
+++ b/ibismux/edge/evacuation_feed.h
@@ -8,8 +8,8 @@
 
 namespace ibismux::edge {
 
-/// Keeps the set of evacuated zones, whose leafs must get no requests, at what
-/// the store says.
+/// Keeps the set of evacuated zones, whose leafs must get no requests, in sync
+/// with the store.
 ///
 /// While the store can't be reached, the last known set stays in force: an
 /// operator who evacuates a zone expects it to stay empty until told otherwise.
@@ -17,21 +17,21 @@
 /// Not thread safe.
 class EvacuationFeed : public feed::FeedObserver {
  public:
-  /// Called with all evacuated zones each time the set has changed.
-  using Take = std::function<void(const ZoneNames& zones)>;
+  /// Called with all evacuated zones after each change of the set.
+  using UpdateHandler = std::function<void(const ZoneNames& zones)>;
 
-  /// @param on_back Called when the store answers again.
-  EvacuationFeed(Take take, std::function<void()> on_back);
+  /// @param on_recovery Called when the store answers again.
+  EvacuationFeed(UpdateHandler on_update, std::function<void()> on_recovery);
 
   void on_listing(const store::Listing& listing) override;
   void on_change(const store::WatchBatch::Event& event) override;
-  void on_regained() override { this->on_back(); }
+  void on_regained() override { this->on_recovery(); }
 
  private:
-  void put_in_force(ZoneNames fresh);
+  void update_zones(ZoneNames updated);
 
-  const Take take;
-  const std::function<void()> on_back;
+  const UpdateHandler on_update;
+  const std::function<void()> on_recovery;
   ZoneNames zones;
 };
 
--- a/ibismux/edge/leaf_feed.cc
+++ b/ibismux/edge/leaf_feed.cc
@@ -15,11 +15,11 @@
                    const LeafEntryDecoder& decoder,
                    prometheus::Registry& registry,
                    eventlog::EventLog& log,
-                   std::function<void()> on_back)
+                   std::function<void()> on_recovery)
     : directory(directory),
       decoder(decoder),
       log(log),
-      on_back(std::move(on_back)),
+      on_recovery(std::move(on_recovery)),
       expiry(loop.get_executor()) {
   auto& family = prometheus::BuildCounter()
                      .Name("ibismux_leaf_entries_refused_total")
@@ -45,8 +45,8 @@
 
 void LeafFeed::on_change(const store::WatchBatch::Event& event) {
   if (event.removed) {
-    this->refused_at.erase(event.object.name);
-    // The store hands out what it has removed; other stores may not.
+    this->refused_versions.erase(event.object.name);
+    // The event contains the removed entry, but other stores may omit it.
     const auto last = this->decoder.decode(event.object);
     this->directory.remove(event.object.name, Clock::now(),
                            last ? &*last : nullptr);
@@ -65,7 +65,7 @@
 void LeafFeed::on_regained() {
   this->directory.registry_regained(Clock::now());
   this->schedule_expiry();
-  this->on_back();
+  this->on_recovery();
 }
 
 void LeafFeed::on_available_since(TimePoint since) {
@@ -80,15 +80,15 @@
     this->refuse(object, entry.error());
     return std::nullopt;
   }
-  this->refused_at.erase(object.name);
+  this->refused_versions.erase(object.name);
   return *std::move(entry);
 }
 
 void LeafFeed::refuse(const store::StoredObject& object,
                       const directory::RefusedEntry& refused) {
   this->directory.discard(object.name, Clock::now());
-  // A whole listing brings the same entry again.
-  store::Version& logged = this->refused_at[object.name];
+  // Each full listing contains the same entry again.
+  store::Version& logged = this->refused_versions[object.name];
   if (logged == object.version) {
     return;
   }
--- a/ibismux/edge/leaf_feed.h
+++ b/ibismux/edge/leaf_feed.h
@@ -21,26 +21,26 @@
 
 namespace ibismux::edge {
 
-/// Keeps the directory of leafs at what the registry says.
+/// Keeps the directory of leafs in sync with the registry.
 ///
-/// An entry that names no leaf to use, because another writer left it or it was
-/// damaged, is kept out, logged once a version and counted by its fault. Where
-/// it stands under the id of a leaf in use, that leaf is used no longer,
-/// whether the entry came with a listing, a watch or from a peer: what the leaf
-/// now says of itself can't be told.
+/// An entry that doesn't describe a usable leaf, because it is damaged or was
+/// left by another writer, is ignored, logged once per version and counted by
+/// its fault. If it has the id of a leaf in use, that leaf is removed, because
+/// its current state is unknown. This holds whether the entry came with a
+/// listing, from a watch or from a peer.
 ///
-/// Belongs to one event loop; not thread safe.
+/// Not thread safe: used on one event loop.
 class LeafFeed : public feed::FeedObserver {
  public:
-  /// @param registry Takes the metric ibismux_leaf_entries_refused_total.
-  /// @param on_back Called when the registry answers again.
-  /// The others outlive this.
+  /// @param registry Receives the metric ibismux_leaf_entries_refused_total.
+  /// @param on_recovery Called when the registry of leafs answers again.
+  /// @param loop, directory, decoder, log Must outlive this.
   LeafFeed(boost::asio::io_context& loop,
            directory::LeafDirectory& directory,
            const LeafEntryDecoder& decoder,
            prometheus::Registry& registry,
            eventlog::EventLog& log,
-           std::function<void()> on_back);
+           std::function<void()> on_recovery);
 
   void on_listing(const store::Listing& listing) override;
   void on_change(const store::WatchBatch::Event& event) override;
@@ -49,7 +49,8 @@
   void on_available_since(TimePoint since) override;
 
  private:
-  /// The entry of `object`; nothing where it names no leaf to use.
+  /// Decodes `object`. Refuses it and returns nothing if it doesn't describe a
+  /// usable leaf.
   [[nodiscard]] std::optional<directory::LeafEntry> read(
       const store::StoredObject& object);
   void refuse(const store::StoredObject& object,
@@ -59,10 +60,10 @@
   directory::LeafDirectory& directory;
   const LeafEntryDecoder& decoder;
   eventlog::EventLog& log;
-  const std::function<void()> on_back;
+  const std::function<void()> on_recovery;
   std::array<prometheus::Counter*, directory::kEntryFaultCount> refusals;
-  /// The version at which each entry was last refused, for the log.
-  std::map<std::string, store::Version> refused_at;
+  /// The last refused version of each entry, so that each is logged only once.
+  std::map<std::string, store::Version> refused_versions;
   http::Timer expiry;
 };
 
--- a/ibismux/edge/package_settings.cc
+++ b/ibismux/edge/package_settings.cc
@@ -11,20 +11,21 @@
 
 using std::chrono::milliseconds;
 
-// A connection to the store whose other side acknowledges nothing for so long
-// is lost. Leafs that leave take requests for three seconds more.
-constexpr std::chrono::seconds kStoreSilence{2};
-// Between probes of a store that is down. Each daemon that starts meanwhile
-// refuses everything until its first answer.
-constexpr milliseconds kLongestBackoff{250};
-// Extra arrivals stay below what services bear, since windows of daemons and
-// services don't begin together.
-constexpr double kRepeatSafety = 0.85;
-// How long a daemon leaves it to the watchers to read the store when the whole
-// fleet starts for the first time. Callers come ten seconds later; daemons have
-// met by their contacts after five.
-constexpr milliseconds kFirstStartPatience{6000};
-constexpr milliseconds kFirstStartSpread{1500};
+// A connection to the store is lost if the other side acknowledges nothing for
+// this long. Must be below the three seconds for which a leaving leaf still
+// takes requests.
+constexpr std::chrono::seconds kStoreSilenceLimit{2};
+// Longest pause between probes of a store that is down. A daemon that starts
+// during the outage refuses all requests until the store first answers.
+constexpr milliseconds kMaxBackoff{250};
+// Keeps repeats below the share that services tolerate, because the time
+// windows of daemons and services don't begin at the same time.
+constexpr double kRepeatSafetyFactor = 0.85;
+// How long a daemon waits for the watchers to read the store when the whole
+// fleet starts for the first time. Daemons have discovered each other through
+// their contacts after five seconds, and callers connect after ten.
+constexpr milliseconds kFirstStartReadDelay{6000};
+constexpr milliseconds kFirstStartJitter{1500};
 
 }  // namespace
 
@@ -34,8 +35,8 @@
 }
 
 Duration first_start_patience() {
-  const auto spread = static_cast<std::uint64_t>(kFirstStartSpread.count());
-  return kFirstStartPatience + milliseconds(draw() % spread);
+  const auto jitter = static_cast<std::uint64_t>(kFirstStartJitter.count());
+  return kFirstStartReadDelay + milliseconds(draw() % jitter);
 }
 
 store::PlatformSettings store_settings(const EdgeSettings& settings) {
@@ -43,12 +44,12 @@
   store::PlatformSettings store;
   store.address = endpoint.address;
   store.port = endpoint.port;
-  store.silence_limit = kStoreSilence;
+  store.silence_limit = kStoreSilenceLimit;
   store.members = settings.hosts;
   store.budget.per_second = {settings.fleet_reads_per_second,
                              settings.fleet_writes_per_second,
                              settings.fleet_reads_per_second};
-  store.health.longest_backoff = kLongestBackoff;
+  store.health.longest_backoff = kMaxBackoff;
   return store;
 }
 
@@ -57,7 +58,7 @@
   dispatch.member = settings.member;
   dispatch.zone = settings.zone;
   dispatch.zone_regions = settings.zone_regions;
-  dispatch.repeat_share = settings.repeat_ratio * kRepeatSafety;
+  dispatch.repeat_share = settings.repeat_ratio * kRepeatSafetyFactor;
   dispatch.repeat_slack = settings.repeat_slack;
   dispatch.hosts = settings.hosts;
   dispatch.remote_cost = settings.remote_cost;
--- a/ibismux/edge/package_settings.h
+++ b/ibismux/edge/package_settings.h
@@ -12,10 +12,10 @@
 
 namespace ibismux::edge {
 
-/// A number that differs at each start. Thread safe.
+/// A random number, different at each call. Thread safe.
 [[nodiscard]] std::uint64_t draw();
 
-/// @name The settings of each package, out of the daemon's. Thread safe.
+/// @name Settings of each package, derived from the daemon's. Thread safe.
 /// @{
 [[nodiscard]] store::PlatformSettings store_settings(
     const EdgeSettings& settings);
@@ -26,9 +26,9 @@
     const EdgeSettings& settings);
 /// @}
 
-/// How long this daemon leaves it to others to read the store when the whole
-/// fleet starts for the first time; differs from daemon to daemon, so that
-/// those that come first can serve the rest. Thread safe.
+/// How long this daemon waits for other daemons to read the store when the
+/// whole fleet starts for the first time. Randomized, so that the daemons that
+/// read first can pass the contents on to the rest. Thread safe.
 [[nodiscard]] Duration first_start_patience();
 
 }  // namespace ibismux::edge
--- a/ibismux/edge/quarantine_feed.cc
+++ b/ibismux/edge/quarantine_feed.cc
@@ -8,19 +8,19 @@
 
 QuarantineFeed::QuarantineFeed(quarantine::QuarantineTable& table,
                                eventlog::EventLog& log,
-                               std::function<void()> on_back)
-    : table(table), log(log), on_back(std::move(on_back)) {}
+                               std::function<void()> on_recovery)
+    : table(table), log(log), on_recovery(std::move(on_recovery)) {}
 
 void QuarantineFeed::on_listing(const store::Listing& listing) {
-  // The first one only; what is removed later comes as a change.
+  // Only the first listing arrives here; later removals arrive as changes.
   for (const store::StoredObject& object : listing.objects) {
-    this->take(object);
+    this->apply(object);
   }
 }
 
 void QuarantineFeed::on_change(const store::WatchBatch::Event& event) {
   if (!event.removed) {
-    this->take(event.object);
+    this->apply(event.object);
     return;
   }
   const auto digest = quarantine::RequestDigest::parse(event.object.name);
@@ -31,7 +31,7 @@
   }
 }
 
-void QuarantineFeed::take(const store::StoredObject& object) {
+void QuarantineFeed::apply(const store::StoredObject& object) {
   const auto digest = quarantine::RequestDigest::parse(object.name);
   const auto record = quarantine::decode_quarantine_record(object.value);
   if (!digest || !record) {
--- a/ibismux/edge/quarantine_feed.h
+++ b/ibismux/edge/quarantine_feed.h
@@ -9,27 +9,30 @@
 
 namespace ibismux::edge {
 
-/// Tells the table of requests that end leafs what the store says of them.
+/// Applies the quarantine records in the store, and their removals, to the
+/// table of requests during which leafs have ended.
 ///
-/// While the store can't be reached, what is known holds on. Not thread safe.
+/// While the store can't be reached, the last known records stay in force.
+///
+/// Not thread safe.
 class QuarantineFeed : public feed::FeedObserver {
  public:
-  /// @param on_back Called when the store answers again.
-  /// @param table, log Outlive this.
+  /// @param on_recovery Called when the store answers again.
+  /// @param table, log Must outlive this.
   QuarantineFeed(quarantine::QuarantineTable& table,
                  eventlog::EventLog& log,
-                 std::function<void()> on_back);
+                 std::function<void()> on_recovery);
 
   void on_listing(const store::Listing& listing) override;
   void on_change(const store::WatchBatch::Event& event) override;
-  void on_regained() override { this->on_back(); }
+  void on_regained() override { this->on_recovery(); }
 
  private:
-  void take(const store::StoredObject& object);
+  void apply(const store::StoredObject& object);
 
   quarantine::QuarantineTable& table;
   eventlog::EventLog& log;
-  const std::function<void()> on_back;
+  const std::function<void()> on_recovery;
 };
 
 }  // namespace ibismux::edge
--- a/tests/edge/edge_settings_test.cc
+++ b/tests/edge/edge_settings_test.cc
@@ -14,7 +14,7 @@
   return settings::FieldReader<EdgeSettings>(document, edge_fields()).read();
 }
 
-std::string with(const std::string& more) {
+std::string settings_with(const std::string& more) {
   return "{\"member\":\"a\",\"zone\":\"z\","
          "\"caller\":{\"endpoint\":\"10.0.0.1:80\"},"
          "\"ready\":{\"endpoint\":\"10.0.0.1:81\"},"
@@ -22,18 +22,18 @@
          more + "}";
 }
 
-Test(edge_settings, what_is_required_is_enough) {
-  const Outcome outcome = read_text(with(""));
+Test(edge_settings, required_keys_are_sufficient) {
+  const Outcome outcome = read_text(settings_with(""));
   cr_assert(outcome.has_value());
   cr_assert(outcome->store_endpoint == "10.0.0.9:82");
   cr_assert(outcome->peer_endpoint.empty());
 }
 
-Test(edge_settings, values_of_every_kind_are_taken) {
-  const Outcome outcome = read_text(
-      with(",\"repeats\":{\"ratio\":0.25,\"slack\":54},"
-           "\"fleet\":{\"endpoint\":\"10.0.0.1:7000\",\"first_start\":true},"
-           "\"stop\":{\"limit_s\":7}"));
+Test(edge_settings, values_of_every_kind_are_read) {
+  const Outcome outcome = read_text(settings_with(
+      ",\"repeats\":{\"ratio\":0.25,\"slack\":54},"
+      "\"fleet\":{\"endpoint\":\"10.0.0.1:7000\",\"first_start\":true},"
+      "\"stop\":{\"limit_s\":7}"));
   cr_assert(outcome.has_value());
   cr_assert(outcome->repeat_ratio == 0.25);
   cr_assert(outcome->repeat_slack == 54);
@@ -41,31 +41,33 @@
   cr_assert(outcome->stop_limit == std::chrono::milliseconds(7000));
 }
 
-Test(edge_settings, a_wrong_value_is_named_with_its_place) {
-  for (const char* odd : {"\"10.0.0.1\"", "\"10.0.0.1:x\"", "\":80\"", "80",
-                          "\"host:80\"", "\"10.0.0.1:70000\"", "null"}) {
-    const Outcome outcome = read_text(
-        with(std::string(",\n\"metrics\":{\"endpoint\":") + odd + "}"));
+Test(edge_settings, invalid_value_is_reported_with_its_position) {
+  for (const char* invalid : {"\"10.0.0.1\"", "\"10.0.0.1:x\"", "\":80\"", "80",
+                              "\"host:80\"", "\"10.0.0.1:70000\"", "null"}) {
+    const Outcome outcome = read_text(settings_with(
+        std::string(",\n\"metrics\":{\"endpoint\":") + invalid + "}"));
     cr_assert(!outcome.has_value());
     cr_assert(
         outcome.error().front().starts_with("s.json:2:12: metrics.endpoint: "));
   }
 }
 
-Test(edge_settings, numbers_out_of_bounds_are_refused) {
-  for (const char* odd :
+Test(edge_settings, numbers_out_of_bounds_are_rejected) {
+  for (const char* invalid :
        {"{\"ratio\":-0.1}", "{\"ratio\":\"x\"}", "{\"ratio\":1e3}",
         "{\"slack\":-1}", "{\"slack\":1e300}", "{\"slack\":true}",
         "{\"slack\":null}"}) {
-    cr_assert(!read_text(with(std::string(",\"repeats\":") + odd)).has_value());
+    cr_assert(!read_text(settings_with(std::string(",\"repeats\":") + invalid))
+                   .has_value());
   }
 }
 
-// Guards against bounds with a fraction or an exponent that stop the start.
-Test(edge_settings, what_the_platform_works_out_may_have_a_fraction) {
+// Guards against a daemon that refuses to start because the platform computed a
+// value with a fraction or an exponent.
+Test(edge_settings, computed_values_may_have_a_fraction_or_exponent) {
   const Outcome outcome = read_text(
-      with(",\"repeats\":{\"ratio\":2E-1,\"slack\":3.31578947368421E1}"
-           ",\"stop\":{\"limit_s\":6.5}"));
+      settings_with(",\"repeats\":{\"ratio\":2E-1,\"slack\":3.31578947368421E1}"
+                    ",\"stop\":{\"limit_s\":6.5}"));
   cr_assert(outcome.has_value());
   cr_assert(outcome->repeat_ratio == 0.2);
   cr_assert(outcome->repeat_slack == 33.1578947368421);
@@ -88,40 +90,42 @@
   }
 }
 
-Test(edge_settings, a_whole_number_counts_however_it_is_written) {
+Test(edge_settings, whole_numbers_are_accepted_in_any_notation) {
   for (const char* wait : {"3000", "3e3", "3000.0", "0.3E4"}) {
-    const Outcome outcome = read_text(
-        with(std::string(",\"stop\":{\"leave_notice_ms\":") + wait + "}"));
+    const Outcome outcome = read_text(settings_with(
+        std::string(",\"stop\":{\"leave_notice_ms\":") + wait + "}"));
     cr_assert(outcome.has_value(), "%s", wait);
     cr_assert(outcome->leave_notice == std::chrono::milliseconds(3000));
   }
   for (const char* wait : {"3000.5", "1e300", "-1", "\"3000\""}) {
-    cr_assert(!read_text(with(std::string(",\"stop\":{\"leave_notice_ms\":") +
-                              wait + "}"))
+    cr_assert(!read_text(settings_with(
+                             std::string(",\"stop\":{\"leave_notice_ms\":") +
+                             wait + "}"))
                    .has_value(),
               "%s", wait);
   }
 }
 
 Test(edge_settings, regions_of_zones) {
-  const Outcome outcome =
-      read_text(with(",\"zone_regions\":{\"z\":\"north\",\"hall 2\":\"\",}"));
+  const Outcome outcome = read_text(
+      settings_with(",\"zone_regions\":{\"z\":\"north\",\"hall 2\":\"\",}"));
   cr_assert(outcome.has_value());
   cr_assert(outcome->zone_regions ==
             ZoneRegions({{"z", "north"}, {"hall 2", ""}}));
-  cr_assert(read_text(with(",\"zone_regions\":{ }"))->zone_regions.empty());
-  for (const char* odd : {"[]", "\"north\"", "{\"z\":1}", "{\"z\":null}"}) {
+  cr_assert(
+      read_text(settings_with(",\"zone_regions\":{ }"))->zone_regions.empty());
+  for (const char* invalid : {"[]", "\"north\"", "{\"z\":1}", "{\"z\":null}"}) {
     const Outcome refused =
-        read_text(with(std::string(",\"zone_regions\":") + odd));
+        read_text(settings_with(std::string(",\"zone_regions\":") + invalid));
     cr_assert(!refused.has_value());
     cr_assert(refused.error().front().find("zone_regions: ") !=
               std::string::npos);
   }
 }
 
-Test(edge_settings, groups_that_the_platform_leaves_empty_keep_the_defaults) {
+Test(edge_settings, empty_groups_keep_the_defaults) {
   const Outcome outcome =
-      read_text(with(",\"fleet\":{},\"repeats\":{},\"stop\":{},"));
+      read_text(settings_with(",\"fleet\":{},\"repeats\":{},\"stop\":{},"));
   cr_assert(outcome.has_value());
   cr_assert(outcome->repeat_ratio == EdgeSettings().repeat_ratio);
   cr_assert(outcome->repeat_slack == EdgeSettings().repeat_slack);
@@ -129,7 +133,7 @@
   cr_assert(!outcome->first_start);
 }
 
-Test(edge_settings, the_printed_defaults_name_what_is_required) {
+Test(edge_settings, printed_defaults_mark_required_keys) {
   const std::string text =
       settings::print_defaults_of<EdgeSettings>(edge_fields());
   cr_assert(text.find("Required") != std::string::npos);
--- a/tests/edge/evacuation_feed_test.cc
+++ b/tests/edge/evacuation_feed_test.cc
@@ -8,9 +8,10 @@
 namespace {
 
 struct Fixture {
-  std::vector<ZoneNames> taken;
+  std::vector<ZoneNames> updates;
   EvacuationFeed feed{
-      [this](const ZoneNames& zones) { this->taken.push_back(zones); }, [] {}};
+      [this](const ZoneNames& zones) { this->updates.push_back(zones); },
+      [] {}};
 
   void list(const ZoneNames& zones) {
     store::Listing listing;
@@ -37,30 +38,30 @@
   fixture.list({"z1"});
   fixture.change("z2", false);
   fixture.change("z1", true);
-  cr_assert(fixture.taken ==
+  cr_assert(fixture.updates ==
             std::vector<ZoneNames>({{"z1"}, {"z1", "z2"}, {"z2"}}));
 }
 
-Test(evacuation_feed, a_listing_without_a_zone_ends_its_evacuation) {
+Test(evacuation_feed, zone_missing_from_listing_is_no_longer_evacuated) {
   Fixture fixture;
   fixture.list({"z1", "z2"});
   fixture.list({"z2"});
-  cr_assert(fixture.taken.back() == ZoneNames({"z2"}));
+  cr_assert(fixture.updates.back() == ZoneNames({"z2"}));
 }
 
-Test(evacuation_feed, tells_nothing_where_nothing_has_changed) {
+Test(evacuation_feed, unchanged_set_is_not_reported) {
   Fixture fixture;
   fixture.list({});
   fixture.change("z1", true);
-  cr_assert(fixture.taken.empty());
+  cr_assert(fixture.updates.empty());
 }
 
-Test(evacuation_feed, a_lost_store_changes_nothing) {
+Test(evacuation_feed, losing_the_store_changes_nothing) {
   Fixture fixture;
   fixture.list({"z1"});
   fixture.feed.on_lost();
   fixture.feed.on_regained();
-  cr_assert(fixture.taken.size() == 1);
+  cr_assert(fixture.updates.size() == 1);
 }
 
 }  // namespace
