--- a/ibismux/edge/edge_settings.cc
+++ b/ibismux/edge/edge_settings.cc
@@ -19,10 +19,10 @@
 
 // The platform computes rates, budgets and times; they may be fractional or
 // grow with the fleet. These bounds therefore only reject implausible values.
-constexpr double kMaxCallsPerSecond = 1e9;  // Calls per second.
-constexpr double kMaxSlackCalls = 1e9;      // Calls.
-constexpr double kMaxRepeatRatio = 100;     // Repeats per request.
-constexpr double kMaxLinkMbps = 1e9;        // Mbit/s.
+constexpr double kMaxCallsPerSecond = 1e9;
+constexpr double kMaxSlackCalls = 1e9;
+constexpr double kMaxRepeatRatio = 100;  // Repeats per request.
+constexpr double kMaxLinkMbps = 1e9;
 
 const std::array kFields = {
     Key{"member", "Name of this host.",
@@ -89,13 +89,12 @@
                milliseconds(60'000)}},
 
     Key{"repeats.ratio",
-        "Repeats of requests that a service tolerates from all daemons, "
-        "as a share of its requests.",
+        "Repeats of requests that a service tolerates from all daemons, as a "
+        "share of its requests.",
         Real{&EdgeSettings::repeat_ratio, 0, kMaxRepeatRatio}},
     Key{"repeats.slack",
         "Repeats of requests that a service tolerates in addition to that "
-        "share, "
-        "from all daemons together, in one window of seconds.",
+        "share, from all daemons, in one window of seconds.",
         Real{&EdgeSettings::repeat_slack, 0, kMaxSlackCalls}},
     Key{"leaf.remote_cost",
         "How much faster a leaf of another zone must be to be preferred, as a "
--- a/ibismux/edge/package_settings.cc
+++ b/ibismux/edge/package_settings.cc
@@ -12,8 +12,8 @@
 using std::chrono::milliseconds;
 
 // A connection to the store is lost if the other side acknowledges nothing for
-// this long. Must be below the three seconds for which a leaving leaf still
-// takes requests.
+// this long. The limit is below the three seconds for which a leaving leaf
+// still takes requests.
 constexpr std::chrono::seconds kStoreSilenceLimit{2};
 // Longest pause between probes of a store that is down. A daemon that starts
 // during the outage refuses all requests until the store first answers.
