--- a/ibismux/edge/edge_daemon.cc
+++ b/ibismux/edge/edge_daemon.cc
@@ -41,7 +41,7 @@
             store_settings(this->settings),
             std::move(this->adapters.store_dialect),
             registry,
-            draw()),
+            random_number()),
       dispatcher(pool.at(0),
                  *this->adapters.leaf_connector,
                  dispatch_settings(this->settings),
@@ -100,7 +100,7 @@
         ContactSlots::Self{this->settings.member, *endpoint,
                            this->settings.zone},
         [this] { return *this->fleet->members(); }, this->log)
-        ->start(draw());
+        ->start(random_number());
   }
   asio::co_spawn(this->loop(), this->check_store(), asio::detached);
   this->tick();
--- a/ibismux/edge/edge_daemon_life.cc
+++ b/ibismux/edge/edge_daemon_life.cc
@@ -58,7 +58,7 @@
       this->make_feed(this->adapters.quarantine_collection, this->quarantine)};
   std::make_shared<quarantine::QuarantineWriter>(
       this->loop(), this->store, this->adapters.quarantine_collection,
-      this->dispatcher.quarantine(), this->log, draw())
+      this->dispatcher.quarantine(), this->log, random_number())
       ->start();
   if (!this->fleet) {
     for (const auto& feed : this->feeds) {
--- a/ibismux/edge/package_settings.cc
+++ b/ibismux/edge/package_settings.cc
@@ -29,14 +29,14 @@
 
 }  // namespace
 
-std::uint64_t draw() {
+std::uint64_t random_number() {
   std::random_device device;
   return (std::uint64_t{device()} << 32) | device();
 }
 
 Duration first_start_patience() {
   const auto jitter = static_cast<std::uint64_t>(kFirstStartJitter.count());
-  return kFirstStartReadDelay + milliseconds(draw() % jitter);
+  return kFirstStartReadDelay + milliseconds(random_number() % jitter);
 }
 
 store::PlatformSettings store_settings(const EdgeSettings& settings) {
@@ -74,7 +74,7 @@
 eventlog::EventLogSettings log_settings(const EdgeSettings& settings) {
   eventlog::EventLogSettings log;
   log.host = settings.member;
-  log.incarnation = draw() >> 16;
+  log.incarnation = random_number() >> 16;
   log.lines_per_second = {static_cast<double>(settings.log_ordinary),
                           static_cast<double>(settings.log_failures),
                           static_cast<double>(settings.log_beliefs)};
--- a/ibismux/edge/package_settings.h
+++ b/ibismux/edge/package_settings.h
@@ -13,7 +13,7 @@
 namespace ibismux::edge {
 
 /// A random number, different at each call. Thread safe.
-[[nodiscard]] std::uint64_t draw();
+[[nodiscard]] std::uint64_t random_number();
 
 /// @name Settings of each package, derived from the daemon's. Thread safe.
 /// @{
