--- a/ibismux/edge/edge_daemon_life.cc
+++ b/ibismux/edge/edge_daemon_life.cc
@@ -75,7 +75,7 @@
   this->reports->start();
   this->start_gathering();
   const bool lazy = this->settings.first_start;
-  this->relay->start(lazy ? first_start_patience() : Duration::zero());
+  this->relay->start(lazy ? first_start_read_delay() : Duration::zero());
 }
 
 void EdgeDaemon::Impl::start_gathering() {
--- a/ibismux/edge/package_settings.cc
+++ b/ibismux/edge/package_settings.cc
@@ -34,7 +34,7 @@
   return (std::uint64_t{device()} << 32) | device();
 }
 
-Duration first_start_patience() {
+Duration first_start_read_delay() {
   const auto jitter = static_cast<std::uint64_t>(kFirstStartJitter.count());
   return kFirstStartReadDelay + milliseconds(random_number() % jitter);
 }
--- a/ibismux/edge/package_settings.h
+++ b/ibismux/edge/package_settings.h
@@ -29,7 +29,7 @@
 /// How long this daemon waits for other daemons to read the store when the
 /// whole fleet starts for the first time. Randomized, so that the daemons that
 /// read first can pass the contents on to the rest. Thread safe.
-[[nodiscard]] Duration first_start_patience();
+[[nodiscard]] Duration first_start_read_delay();
 
 }  // namespace ibismux::edge
 
