--- a/ibismux/edge/edge_settings.cc
+++ b/ibismux/edge/edge_settings.cc
@@ -97,7 +97,7 @@
         "share, from all daemons, in one window of seconds.",
         Real{&EdgeSettings::repeat_slack, 0, kMaxSlackCalls}},
     Key{"leaf.remote_cost",
-        "How much faster a leaf of another zone must be to be preferred, as a "
+        "How much better a leaf of another zone must be to be preferred, as a "
         "multiple of the usual duration of a call.",
         Real{&EdgeSettings::remote_cost, 0, 10}},
 
@@ -146,8 +146,8 @@
         Seconds{&EdgeSettings::stop_limit, milliseconds(0),
                 milliseconds(600'000)}},
     Key{"stop.leave_notice_ms",
-        "On SIGTERM: how long new callers are still served, until the load "
-        "balancer stops sending them.",
+        "On SIGTERM: how long new callers are still served, so that the "
+        "load balancer can notice the shutdown.",
         Millis{&EdgeSettings::leave_notice, milliseconds(0),
                milliseconds(60'000)}},
 
