--- a/ibismux/edge/edge_daemon_life.cc
+++ b/ibismux/edge/edge_daemon_life.cc
@@ -58,7 +58,7 @@
       this->make_feed(this->adapters.quarantine_collection, this->quarantine)};
   std::make_shared<quarantine::QuarantineWriter>(
       this->loop(), this->store, this->adapters.quarantine_collection,
-      this->dispatcher.quarantine(), this->log, draw())
+      this->dispatcher.quarantine(), this->log, random_number())
       ->start();
   if (!this->fleet) {
     for (const auto& feed : this->feeds) {
@@ -75,7 +75,7 @@
   this->reports->start();
   this->start_gathering();
   const bool lazy = this->settings.first_start;
-  this->relay->start(lazy ? first_start_patience() : Duration::zero());
+  this->relay->start(lazy ? first_start_read_delay() : Duration::zero());
 }
 
 void EdgeDaemon::Impl::start_gathering() {
