--- a/ibismux/edge/adapters.h
+++ b/ibismux/edge/adapters.h
@@ -16,16 +16,16 @@
 
 namespace ibismux::edge {
 
-/// Reads the configuration out of the object that holds it. Thread safe.
+/// Decodes the configuration from its object in the store. Thread safe.
 class ConfigurationDecoder {
  public:
   virtual ~ConfigurationDecoder() = default;
-  /// Errors: kInvalidRequest, whose message names the key that is wrong.
+  /// Errors: kInvalidRequest; the message names the invalid key.
   [[nodiscard]] virtual Result<std::shared_ptr<const routing::RouteTable>>
   decode(const store::StoredObject& object) const = 0;
 };
 
-/// Reads a leaf's entry in the registry. Thread safe.
+/// Decodes a leaf's entry in the registry. Thread safe.
 class LeafEntryDecoder {
  public:
   virtual ~LeafEntryDecoder() = default;
@@ -34,7 +34,7 @@
   decode(const store::StoredObject& object) const = 0;
 };
 
-/// Reads callers' requests and writes their answers. Thread safe.
+/// Decodes callers' requests and encodes the responses. Thread safe.
 class CallerProtocol {
  public:
   virtual ~CallerProtocol() = default;
@@ -46,7 +46,8 @@
       dispatch::Outcome outcome) const = 0;
 };
 
-/// What ties a daemon to one platform: how it speaks, and where things are.
+/// The platform-specific parts of a daemon: its protocols and the locations of
+/// its data in the store.
 struct Adapters {
   std::unique_ptr<const store::StoreDialect> store_dialect;
   std::unique_ptr<const dispatch::LeafConnector> leaf_connector;
@@ -54,15 +55,16 @@
   std::unique_ptr<const ConfigurationDecoder> configuration;
   std::unique_ptr<const LeafEntryDecoder> leaf_entries;
 
-  /// @name Places in the store
+  /// @name Locations in the store
   /// @{
   std::string configuration_collection;
   std::string configuration_name;
   std::string leaf_collection;
-  /// Each object is named after a zone whose leafs must get no requests.
+  /// Each object has the name of an evacuated zone: no requests may be sent to
+  /// its leafs.
   std::string evacuation_collection;
-  std::string contact_collection;  ///< Of the daemons themselves.
-  /// Each object is named after the digest of a request that ends leafs.
+  std::string contact_collection;  ///< Contact entries of daemons.
+  /// Each object has as its name the digest of a request that crashes leafs.
   std::string quarantine_collection;
   /// @}
 };
--- a/ibismux/edge/contact_slots.cc
+++ b/ibismux/edge/contact_slots.cc
@@ -21,16 +21,18 @@
 using std::chrono::milliseconds;
 
 constexpr std::uint64_t kSlotSalt = 53;
-// Time to meet the others by the contacts that stand there already, and spread,
-// so that of a fleet that starts at once the first ones are seen by the rest.
-constexpr milliseconds kFirstCheckLeast{500};
-constexpr milliseconds kFirstCheckMost{2500};
-// Contacts matter to daemons that start; one that died is one of several.
-constexpr milliseconds kCheckLeast{8'000};
-constexpr milliseconds kCheckMost{12'000};
-constexpr milliseconds kCallTime{1500};
-// Shares of connections that are off by this part still hold by the part of
-// them that stays unused.
+// The delay lets a daemon join the others through existing contact entries. It
+// is random so that, when a whole fleet starts at once, the entries of the
+// first daemons are visible to the rest.
+constexpr milliseconds kMinFirstCheckDelay{500};
+constexpr milliseconds kMaxFirstCheckDelay{2500};
+// Only starting daemons need contacts, and a failed contact is one of several,
+// so rare checks are enough.
+constexpr milliseconds kMinCheckInterval{8'000};
+constexpr milliseconds kMaxCheckInterval{12'000};
+constexpr milliseconds kStoreTimeout{1500};
+// An error of this fraction in the share of connections is absorbed by the
+// part of the share that stays unused.
 constexpr double kSizeTolerance = 0.1;
 
 std::string slot_name(std::size_t slot) {
@@ -54,14 +56,13 @@
 }
 
 bool should_replace(const store::HostEntry& fresh,
-                    const store::HostEntry& standing) {
-  if (fresh.name != standing.name ||
-      fresh.peer_address != standing.peer_address ||
-      fresh.zone != standing.zone) {
+                    const store::HostEntry& stored) {
+  if (fresh.name != stored.name || fresh.peer_address != stored.peer_address ||
+      fresh.zone != stored.zone) {
     return true;
   }
   const auto now = static_cast<double>(total_of(fresh.fleet));
-  const auto before = static_cast<double>(total_of(standing.fleet));
+  const auto before = static_cast<double>(total_of(stored.fleet));
   return std::abs(now - before) > kSizeTolerance * before;
 }
 
@@ -91,13 +92,14 @@
         least.count(), most.count())(random));
   };
   http::Timer timer(self->loop.get_executor());
-  timer.expires_after(between(kFirstCheckLeast, kFirstCheckMost));
+  timer.expires_after(between(kMinFirstCheckDelay, kMaxFirstCheckDelay));
   for (bool first = true;; first = false) {
     co_await timer.async_wait(asio::use_awaitable);
     co_await check(self, first);
     const bool alone = self->view().serving() <= 1;
-    timer.expires_after(alone ? between(kFirstCheckLeast, kFirstCheckMost)
-                              : between(kCheckLeast, kCheckMost));
+    timer.expires_after(alone
+                            ? between(kMinFirstCheckDelay, kMaxFirstCheckDelay)
+                            : between(kMinCheckInterval, kMaxCheckInterval));
   }
 }
 
@@ -116,27 +118,27 @@
     co_return;
   }
   const std::string name = slot_name(*slot);
-  const auto standing = co_await self->store.stale_get(
-      self->collection, name, Clock::now() + kCallTime);
-  const bool absent =
-      !standing && standing.error().kind == ErrorKind::kNotFound;
-  if (!standing && !absent) {
+  const auto stored = co_await self->store.stale_get(
+      self->collection, name, Clock::now() + kStoreTimeout);
+  const bool absent = !stored && stored.error().kind == ErrorKind::kNotFound;
+  if (!stored && !absent) {
     co_return;
   }
   const store::HostEntry fresh = self->entry(view);
-  // Where a whole fleet starts at once each daemon is alone at first. If each
-  // wrote its entry, it would replace that of a daemon which the others are
-  // about to find there. An entry whose daemon is gone is replaced at the next
-  // look, as long as this one is alone.
-  const bool leave = first && view.serving() <= 1;
-  if (standing && (leave || !self->replaces(fresh, *standing))) {
+  // When a whole fleet starts at once, each daemon knows only itself at first.
+  // Writing its entry then would replace the entry of a daemon that the others
+  // are about to discover. An entry of a daemon that is gone is replaced at the
+  // next check if this daemon still knows no other.
+  const bool keep_stored = first && view.serving() <= 1;
+  if (stored && (keep_stored || !self->replaces(fresh, *stored))) {
     co_return;
   }
-  const store::Version expected = standing ? standing->version : 0;
+  const store::Version expected = stored ? stored->version : 0;
   const auto written =
       co_await self->store.put(self->collection, name, store::encode(fresh),
-                               expected, Clock::now() + kCallTime);
-  // A write that was lost or that met a newer one is looked at again next time.
+                               expected, Clock::now() + kStoreTimeout);
+  // The next check retries a write that was lost or that conflicted with a
+  // newer version.
   self->log.event(eventlog::Weight::kBelief, "contact_written")
       .with("slot", *slot)
       .with("hosts", total_of(fresh.fleet))
@@ -145,11 +147,11 @@
 }
 
 bool ContactSlots::replaces(const store::HostEntry& fresh,
-                            const store::StoredObject& standing) {
-  const auto known = store::decode_host_entry(standing.value);
+                            const store::StoredObject& stored) {
+  const auto known = store::decode_host_entry(stored.value);
   if (!known) {
     this->log.event(eventlog::Weight::kBelief, "contact_unreadable")
-        .with("slot", standing.name)
+        .with("slot", stored.name)
         .with("reason", known.error().message);
     return true;
   }
--- a/ibismux/edge/contact_slots.h
+++ b/ibismux/edge/contact_slots.h
@@ -17,33 +17,38 @@
 
 namespace ibismux::edge {
 
-/// How many daemons stand in the store as contacts for those that start. Some
-/// may be gone at any time; one that answers is enough, as it knows the rest.
+/// The number of daemons listed in the store as contacts for starting daemons.
+/// Some may be gone at any time; one that answers is enough, because it knows
+/// the other members.
 inline constexpr std::size_t kContactSlots = 5;
 
-/// Which slot a daemon should stand in, by its view of the fleet: the first
-/// members in the order of a hash have one each. A daemon that has met nobody
-/// takes one by a hash of its own name, so that the first ones of a fleet that
-/// all start at once don't all write. Thread safe.
+/// Returns the slot that a daemon should occupy according to its view of the
+/// fleet, if any. The first members in the order of a hash have one each. A
+/// daemon that knows no other member picks a slot by a hash of its own name, so
+/// that the first daemons of a fleet that starts at once don't all write.
+/// Thread safe.
 [[nodiscard]] std::optional<std::size_t> slot_of(
     const membership::MembershipView& view);
 
-/// Whether `fresh` should take the place of `standing`: that is another
-/// daemon's, or the fleet has become larger or smaller by a good part. Thread
+/// Returns whether `fresh` should replace `stored`: the name, address or zone
+/// differs, or the size of the fleet has changed by more than 10 %. Thread
 /// safe.
 [[nodiscard]] bool should_replace(const store::HostEntry& fresh,
-                                  const store::HostEntry& standing);
+                                  const store::HostEntry& stored);
 
-/// Keeps the contact points of the fleet in the store: daemons have no other
-/// way to find each other. Each tells how large the fleet is, too: a daemon
-/// that starts with all others, after an outage, shares leafs' connections with
-/// them from its first request on.
+/// Maintains the contact entries of the fleet in the store. Daemons have no
+/// other way to discover each other. Each entry also holds the size of the
+/// fleet, so that a daemon that starts together with all others, after an
+/// outage, opens only its share of leafs' connections from its first request
+/// on.
 ///
-/// A handful of objects with fixed names, whatever the size of the fleet, and
-/// written only when the daemon that should stand in one doesn't. So a restart
-/// of the whole fleet writes nothing, and the store's calls don't grow with it.
+/// There are `kContactSlots` objects with fixed names, whatever the size of the
+/// fleet. An object is written only if the daemon that should occupy the slot
+/// isn't in it, or if the size of the fleet has changed. So a restart of the
+/// whole fleet writes nothing, and the number of calls to the store doesn't
+/// grow with the fleet.
 ///
-/// Belongs to one event loop; not thread safe.
+/// Runs on one event loop; not thread safe.
 class ContactSlots : public std::enable_shared_from_this<ContactSlots> {
  public:
   struct Self {
@@ -53,7 +58,7 @@
   };
   using ViewSource = std::function<membership::MembershipView()>;
 
-  /// All references outlive this.
+  /// All references must outlive this object.
   ContactSlots(boost::asio::io_context& loop,
                store::ObjectStore& store,
                std::string collection,
@@ -61,17 +66,17 @@
                ViewSource view,
                eventlog::EventLog& log);
 
-  /// Begins. Called once.
+  /// Starts the periodic checks. Called once.
   void start(std::uint64_t seed);
 
  private:
   [[nodiscard]] static Task<void> run(std::shared_ptr<ContactSlots> self,
                                       std::uint64_t seed);
-  /// @param first The daemon has only just started.
+  /// @param first Whether this is the first check after the daemon's start.
   [[nodiscard]] static Task<void> check(std::shared_ptr<ContactSlots> self,
                                         bool first);
   [[nodiscard]] bool replaces(const store::HostEntry& fresh,
-                              const store::StoredObject& standing);
+                              const store::StoredObject& stored);
   [[nodiscard]] store::HostEntry entry(
       const membership::MembershipView& view) const;
 
--- a/ibismux/edge/edge_daemon.cc
+++ b/ibismux/edge/edge_daemon.cc
@@ -52,7 +52,7 @@
           this->adapters.configuration_name,
           *this->adapters.configuration,
           log,
-          [this](auto table) { this->take(std::move(table)); },
+          [this](auto table) { this->apply_table(std::move(table)); },
           [this] { this->retry_feeds(); }),
       leafs(pool.at(0),
             directory,
@@ -80,7 +80,7 @@
                                 const gather::GatherRoles& roles) {
                            this->on_view(view, roles);
                          },
-                         [this] { this->share_fleet(); }});
+                         [this] { this->apply_fleet_size(); }});
   }
 }
 
@@ -183,21 +183,24 @@
   return {};
 }
 
-void EdgeDaemon::Impl::take(
+void EdgeDaemon::Impl::apply_table(
     const std::shared_ptr<const routing::RouteTable>& table) {
   if (!this->dispatcher.activate(table)) {
     return;
   }
-  const routing::CallerLimits& told = table->limits();
-  const http::ServerLimits least;
-  this->limits.header_bytes = std::max(least.header_bytes, told.header_bytes);
-  this->limits.body_bytes = std::max(least.body_bytes, told.body_bytes);
-  this->limits.transfer_timeout = told.header_timeout;
-  // A caller goes by the version that it has heard of: a connection is kept
-  // for the longest time that any version of this run has allowed.
-  this->longest_idle =
-      std::max<Duration>(this->longest_idle, told.idle_timeout);
-  this->limits.idle_timeout = this->longest_idle;
+  const routing::CallerLimits& configured = table->limits();
+  const http::ServerLimits defaults;
+  this->limits.header_bytes =
+      std::max(defaults.header_bytes, configured.header_bytes);
+  this->limits.body_bytes =
+      std::max(defaults.body_bytes, configured.body_bytes);
+  this->limits.transfer_timeout = configured.header_timeout;
+  // A caller may still use the idle timeout of an earlier configuration, so a
+  // connection is kept for the longest time that any version since the start of
+  // this process has allowed.
+  this->max_idle_timeout =
+      std::max<Duration>(this->max_idle_timeout, configured.idle_timeout);
+  this->limits.idle_timeout = this->max_idle_timeout;
   this->callers.set_limits(this->limits);
 }
 
--- a/ibismux/edge/edge_daemon.h
+++ b/ibismux/edge/edge_daemon.h
@@ -11,25 +11,28 @@
 
 namespace ibismux::edge {
 
-/// The daemon on a platform that brings its own protocols: takes callers'
-/// requests to leafs, by a configuration and a registry of leafs that it
-/// follows in the platform's store. Keeps nothing; all daemons are equal.
+/// A daemon for a platform that supplies its own protocols. It forwards
+/// callers' requests to leafs by a configuration and a registry of leafs, both
+/// of which it follows in the platform's store. It has no persistent state, and
+/// all daemons are equal.
 ///
-/// One event loop on the calling thread: hosts have a part of one core, and a
-/// second thread would only take turns with the first.
+/// It runs one event loop on the calling thread: a host has a fraction of one
+/// core, so a second thread would only compete with the first.
 class EdgeDaemon {
  public:
-  /// The settings as their file says now, or nothing where they are wrong (who
-  /// reads them has said so) or, unless `asked`, where they haven't changed.
-  using Reload = std::function<std::optional<EdgeSettings>(bool asked)>;
+  /// Returns the current settings from the file. Returns nothing if they are
+  /// invalid (the reader has reported that already) or, unless `forced`, if
+  /// they haven't changed.
+  using Reload = std::function<std::optional<EdgeSettings>(bool forced)>;
 
   EdgeDaemon(EdgeSettings settings, Adapters adapters, Reload reload);
   ~EdgeDaemon();
   EdgeDaemon(const EdgeDaemon&) = delete;
   EdgeDaemon& operator=(const EdgeDaemon&) = delete;
 
-  /// Serves until SIGTERM or SIGINT and the end of what was in flight then.
-  /// @return What kept it from listening.
+  /// Serves until SIGTERM or SIGINT, then until the requests in flight are
+  /// answered or the stop limit of the settings is reached.
+  /// @return The error if the daemon can't listen.
   [[nodiscard]] Result<void> run();
 
  private:
--- a/ibismux/edge/edge_daemon_impl.h
+++ b/ibismux/edge/edge_daemon_impl.h
@@ -35,9 +35,10 @@
 /// How often the daemon checks whether it was stalled.
 inline constexpr std::chrono::milliseconds kTick{500};
 
-/// The parts of the daemon, in the order in which they need each other. All
-/// belongs to the one event loop. `edge_daemon.cc` makes them and serves
-/// requests; `edge_daemon_life.cc` has feeds, checks, settings and the stop.
+/// The components of the daemon, declared in the order of their dependencies.
+/// All run on the one event loop. `edge_daemon.cc` constructs them and serves
+/// requests; `edge_daemon_life.cc` has the feeds, the checks of the store, the
+/// reload of settings and the shutdown.
 class EdgeDaemon::Impl {
  public:
   Impl(EdgeSettings settings, Adapters adapters, Reload reload);
@@ -50,38 +51,42 @@
                              std::shared_ptr<http::CancelToken> caller);
   [[nodiscard]] http::Server::Handler ready_handler();
   [[nodiscard]] http::Server::Handler metrics_handler();
-  /// Both the configuration and the leafs are known. The store's absence later
-  /// on is no reason to leave the rotation: what is known still serves.
+  /// Returns whether the configuration and the leafs are known and the daemon
+  /// isn't stopping. A later outage of the store doesn't make the daemon
+  /// unready, because it can still serve with the data that it has.
   [[nodiscard]] bool is_ready() const;
   [[nodiscard]] Result<void> listen();
   void start_feeds();
   [[nodiscard]] std::shared_ptr<feed::CollectionFeed> make_feed(
       const std::string& collection,
       feed::FeedObserver& observer);
-  /// The store answers for one collection: the others are tried again at once.
+  /// Makes all feeds retry at once; called when the store answers for one
+  /// collection.
   void retry_feeds();
   void start_gathering();
-  /// Requests that this daemon works on, its own and those of peers.
+  /// Returns the number of requests in flight, from callers and from peers.
   [[nodiscard]] std::size_t in_flight() const;
   void on_view(const membership::MembershipView& view,
                const gather::GatherRoles& roles);
-  void share_fleet();
-  void take(const std::shared_ptr<const routing::RouteTable>& table);
-  /// Cheap reads that show whether the store answers this host. A watch that
-  /// waits can't tell a store without changes from one that has stopped
-  /// answering.
+  void apply_fleet_size();
+  void apply_table(const std::shared_ptr<const routing::RouteTable>& table);
+  /// Reads one object from time to time to detect whether the store answers
+  /// this host. A pending watch can't distinguish a store without changes from
+  /// one that has stopped answering.
   Task<void> check_store();
-  /// What is known here, against the configuration's version in the store.
+  /// Compares the local data with the configuration's version in the store.
   [[nodiscard]] StoreCheck::Answer compare(store::Version configuration) const;
   void act_on(CheckAction action);
   void report_store_lost(std::string_view reason);
   void refresh(std::string_view reason);
   void tick();
   void await_signal();
-  /// Takes over what may change while the daemon runs: the budget of repeats,
-  /// the cost of other zones, the times of a stop. Nothing open is touched.
-  /// @param asked By a signal; else only where the file has changed.
-  void reload_settings(bool asked);
+  /// Applies the settings that may change while the daemon runs: the budget
+  /// of repeats, the cost of other zones and the time limits of a shutdown.
+  /// Open connections and requests aren't affected.
+  /// @param forced Whether a signal requested the reload; otherwise the
+  /// settings are applied only if the file has changed.
+  void reload_settings(bool forced);
   void drain();
   void await_idle();
 
@@ -107,16 +112,16 @@
   std::shared_ptr<reports::ReportExchange> reports;
   std::shared_ptr<gather::GatherClient> gather_client;
   std::shared_ptr<gather::GatherHost> gather_host;
-  http::ServerLimits limits;  ///< Of callers, as they are in force.
+  http::ServerLimits limits;  ///< Limits in force for callers.
   http::Server callers;
   http::Server balancer;
   http::Server metrics;
   boost::asio::signal_set signals;
   http::Timer ticker;
   StallDetector stalls;
-  Duration longest_idle{0};
+  Duration max_idle_timeout{0};
   bool stopping = false;
-  TimePoint stop_by;
+  TimePoint stop_deadline;
 };
 
 }  // namespace ibismux::edge
--- a/ibismux/edge/edge_daemon_life.cc
+++ b/ibismux/edge/edge_daemon_life.cc
@@ -14,18 +14,20 @@
 namespace asio = boost::asio;
 using std::chrono::milliseconds;
 
-// After SIGTERM: how often the daemon looks whether all requests are answered.
-constexpr milliseconds kStopTick{20};
-// How often it looks whether the settings file has changed without a signal.
-constexpr std::uint64_t kTicksPerLook = 8;
-// How often it sums up in its log what it sent to leafs: 360 lines an hour.
+// Interval of checks during a shutdown for whether all requests are answered.
+constexpr milliseconds kDrainPollInterval{20};
+// Number of ticks between checks for a changed settings file without a signal.
+constexpr std::uint64_t kTicksPerSettingsCheck = 8;
+// Number of ticks between log summaries of the requests that were sent to
+// leafs: 360 lines an hour.
 constexpr std::uint64_t kTicksPerSummary = 20;
-// What a cheap read of the store may take; the store answers in milliseconds.
-constexpr milliseconds kCheckTime{800};
-// How long peers may offer to bring updates before the first watch: time to
-// meet them.
-constexpr milliseconds kFirstWatchPause{1500};
-// Before the platform ends the process: time to answer what is late anyway.
+// Timeout of the read that checks the store; the store usually answers within
+// milliseconds.
+constexpr milliseconds kStoreCheckTimeout{800};
+// Delay of the first watch, in which the daemon joins its peers and they may
+// offer to forward updates.
+constexpr milliseconds kFirstWatchDelay{1500};
+// Time that is left for the last answers before the platform kills the process.
 constexpr milliseconds kStopMargin{400};
 
 }  // namespace
@@ -36,7 +38,7 @@
   feed::FeedSettings times;
   times.watch_wait = this->settings.watch_wait;
   times.change_pause = this->settings.change_pause;
-  times.first_watch_delay = this->fleet ? kFirstWatchPause : milliseconds(0);
+  times.first_watch_delay = this->fleet ? kFirstWatchDelay : milliseconds(0);
   return std::make_shared<feed::CollectionFeed>(
       this->loop(), this->store, collection, times, observer, this->log);
 }
@@ -103,7 +105,7 @@
   this->gather_host->on_roles(roles);
 }
 
-void EdgeDaemon::Impl::share_fleet() {
+void EdgeDaemon::Impl::apply_fleet_size() {
   if (!this->fleet) {
     return;
   }
@@ -126,7 +128,7 @@
     }
     auto object = co_await this->store.stale_get(
         this->adapters.configuration_collection,
-        this->adapters.configuration_name, Clock::now() + kCheckTime);
+        this->adapters.configuration_name, Clock::now() + kStoreCheckTimeout);
     if (object) {
       this->act_on(
           check.on_answer(this->compare(object->version), Clock::now()));
@@ -209,8 +211,8 @@
           .with("for_ms", stall);
       this->refresh("the host stalled");
     }
-    this->share_fleet();
-    if (++this->ticks % kTicksPerLook == 0) {
+    this->apply_fleet_size();
+    if (++this->ticks % kTicksPerSettingsCheck == 0) {
       this->reload_settings(false);
     }
     if (this->ticks % kTicksPerSummary == 0) {
@@ -238,10 +240,10 @@
       });
 }
 
-void EdgeDaemon::Impl::reload_settings(bool asked) {
-  const auto fresh = this->reload(asked);
+void EdgeDaemon::Impl::reload_settings(bool forced) {
+  const auto fresh = this->reload(forced);
   if (!fresh) {
-    if (asked) {
+    if (forced) {
       this->log.event(eventlog::Weight::kBelief, "reload")
           .with("done", false)
           .with("reason", "the settings are wrong; standard error says where");
@@ -280,17 +282,17 @@
     this->gather_host->drain();
   }
   this->callers.drain();
-  this->stop_by = Clock::now() + this->settings.stop_limit - kStopMargin;
+  this->stop_deadline = Clock::now() + this->settings.stop_limit - kStopMargin;
   this->ticker.cancel();
   this->await_idle();
 }
 
 void EdgeDaemon::Impl::await_idle() {
-  if (this->in_flight() == 0 || Clock::now() >= this->stop_by) {
+  if (this->in_flight() == 0 || Clock::now() >= this->stop_deadline) {
     this->loop().stop();
     return;
   }
-  this->ticker.expires_after(kStopTick);
+  this->ticker.expires_after(kDrainPollInterval);
   this->ticker.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
       this->await_idle();
--- a/ibismux/edge/endpoint.h
+++ b/ibismux/edge/endpoint.h
@@ -8,9 +8,10 @@
 
 namespace ibismux::edge {
 
-/// "ip:port" out of the settings, where port 0 takes one from the system; a
-/// peer's own endpoint never has that. Precondition: `text` has the form of an
-/// endpoint, as the settings' reader checks. Thread safe.
+/// Parses an "ip:port" of the settings. With port 0 the system assigns a port;
+/// the endpoint that a peer announces never has port 0. Precondition: `text` is
+/// a well-formed endpoint, which the reader of the settings checks. Thread
+/// safe.
 [[nodiscard]] inline peer::PeerEndpoint endpoint_of(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   peer::PeerEndpoint endpoint{text.substr(0, colon), 0};
--- a/ibismux/edge/fleet.cc
+++ b/ibismux/edge/fleet.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-std::shared_ptr<const membership::MembershipView> alone(
+std::shared_ptr<const membership::MembershipView> single_member_view(
     const Fleet::Settings& settings) {
   auto view = std::make_shared<membership::MembershipView>();
   view->self = settings.member;
@@ -34,8 +34,8 @@
 
 constexpr std::uint64_t kRankSalt = 59;
 
-/// Fewer wake-ups than the defaults: they are much of what an idle daemon
-/// costs.
+/// The intervals are longer than the defaults, because wake-ups are much of the
+/// CPU time of an idle daemon.
 membership::MembershipSettings membership_settings(
     const Fleet::Settings& settings) {
   membership::MembershipSettings membership;
@@ -53,7 +53,7 @@
              Settings settings,
              Listeners listeners)
     : settings(std::move(settings)),
-      view(alone(this->settings)),
+      view(single_member_view(this->settings)),
       peers(pool, peer_settings(this->settings), view, registry),
       membership(membership_settings(this->settings),
                  pool,
@@ -62,11 +62,11 @@
                  view,
                  registry,
                  [this](const std::vector<membership::Contact>& contacts) {
-                   this->take(contacts);
+                   this->update(contacts);
                  }),
       listeners(std::move(listeners)) {
   this->membership.on_view(
-      [this](const membership::MembershipView& fresh) { this->take(fresh); });
+      [this](const membership::MembershipView& fresh) { this->update(fresh); });
 }
 
 Result<std::string> Fleet::start() {
@@ -80,7 +80,7 @@
   return address + ':' + std::to_string(*port);
 }
 
-void Fleet::take(const membership::MembershipView& fresh) {
+void Fleet::update(const membership::MembershipView& fresh) {
   dispatch::LinkSharers sharers;
   sharers.hosts = fresh.serving();
   sharers.zone = this->settings.zone;
@@ -99,44 +99,46 @@
   this->listeners.on_size();
 }
 
-void Fleet::take(const std::vector<membership::Contact>& contacts) {
+void Fleet::update(const std::vector<membership::Contact>& contacts) {
   peer::TcpPeerNetwork::Seeds seeds;
-  std::size_t most = 0;
-  const membership::Contact* told = nullptr;
+  std::size_t max_hosts = 0;
+  const membership::Contact* largest_contact = nullptr;
   for (const membership::Contact& contact : contacts) {
     seeds[contact.name] = {contact.address, contact.port};
     const std::size_t hosts = total_of(contact.fleet);
-    if (hosts > most) {
-      most = hosts;
-      told = &contact;
+    if (hosts > max_hosts) {
+      max_hosts = hosts;
+      largest_contact = &contact;
     }
   }
   this->peers.set_seeds(std::move(seeds));
-  if (!told || this->size_known_by_contact || most <= this->largest.hosts) {
+  if (!largest_contact || this->size_known_by_contact ||
+      max_hosts <= this->largest.hosts) {
     return;
   }
-  // Until the others are met: daemons of a large fleet that start together and
-  // assume a small one open more connections than leafs accept.
+  // The contact's size applies until the other members are known. Daemons of a
+  // large fleet that start together and assume a small fleet would open more
+  // connections than leafs accept.
   this->size_known_by_contact = true;
-  this->largest.hosts = most;
-  this->largest.hosts_by_zone = told->fleet;
-  // Its place in the order of all isn't known yet; any that is spread evenly
-  // does.
+  this->largest.hosts = max_hosts;
+  this->largest.hosts_by_zone = largest_contact->fleet;
+  // The daemon's rank among all members isn't known yet. Any rank works as long
+  // as the ranks of all daemons are evenly distributed.
   this->largest.rank =
-      membership::name_hash(this->settings.member, kRankSalt) % most;
+      membership::name_hash(this->settings.member, kRankSalt) % max_hosts;
   this->largest_at = Clock::now();
   this->listeners.on_size();
 }
 
 FleetSize Fleet::size(TimePoint now) {
-  const bool forget = now > this->largest_at + kMemory;
-  if (this->current.hosts >= this->largest.hosts || forget) {
+  const bool expired = now > this->largest_at + kSizeRetention;
+  if (this->current.hosts >= this->largest.hosts || expired) {
     this->largest = this->current;
     this->largest_at = now;
   }
-  const bool settled = now - this->started >= kSettling;
-  return {this->largest,
-          this->size_known_by_contact || (settled && this->current.hosts > 1)};
+  const bool startup_over = now - this->started >= kStartupPeriod;
+  return {this->largest, this->size_known_by_contact ||
+                             (startup_over && this->current.hosts > 1)};
 }
 
 }  // namespace ibismux::edge
--- a/ibismux/edge/fleet.h
+++ b/ibismux/edge/fleet.h
@@ -18,14 +18,14 @@
 
 namespace ibismux::edge {
 
-/// Which daemons share what leafs and services bear.
+/// The daemons among which the capacity of leafs and services is divided.
 struct FleetSize {
   dispatch::LinkSharers sharers;
-  /// The others were met, or a contact tells how many they are.
+  /// Other members are known, or a contact entry holds the size of the fleet.
   bool known = false;
 };
 
-/// The other daemons: who they are, and the frames between them.
+/// Membership of the daemons and the network between them.
 ///
 /// Belongs to the pool's first loop once started; not thread safe.
 class Fleet {
@@ -34,19 +34,21 @@
     std::string member;
     std::string zone;
     std::string endpoint;  ///< "ip:port" where peers are accepted.
-    double link_mbps = 0;  ///< Width of this host's link; 0: not known.
+    /// Bandwidth of this host's network link; 0 if unknown.
+    double link_mbps = 0;
   };
   /// Called on the pool's first loop.
   struct Listeners {
-    /// @param roles As the view gives them.
+    /// @param roles The roles that follow from `view`.
     std::function<void(const membership::MembershipView& view,
                        const gather::GatherRoles& roles)>
         on_view;
-    /// `size()` has changed, by a view or by what a contact tells.
+    /// `size()` has changed, through a view or a contact entry.
     std::function<void()> on_size;
   };
 
-  /// All but `settings` and `listeners` outlive this and the pool's loop.
+  /// All but `settings` and `listeners` must outlive this object and the pool's
+  /// loop.
   Fleet(IoPool& pool,
         store::ObjectStore& store,
         prometheus::Registry& registry,
@@ -55,33 +57,34 @@
 
   [[nodiscard]] peer::PeerNetwork& network() noexcept { return this->peers; }
 
-  /// Listens, and looks for the others. Precondition: all handlers of the
-  /// network are set. Called once.
+  /// Starts to listen and to discover the other members. Precondition: all
+  /// handlers of the network are set. Called once.
   /// @return "ip:port" where peers reach this daemon.
   [[nodiscard]] Result<std::string> start();
 
-  /// Tells all that this daemon leaves.
+  /// Announces to the other members that this daemon leaves.
   void announce_leaving() { this->membership.announce_leaving(); }
 
-  /// Who is there now.
+  /// Returns the current members.
   [[nodiscard]] std::shared_ptr<const membership::MembershipView> members()
       const {
     return this->view.read();
   }
 
-  /// The largest fleet of the last `kMemory`. Views of a fleet that is cut in
-  /// two shrink on both sides, while leafs still bear the load of both: shares
-  /// must not grow before the others are surely gone.
+  /// Returns the largest size of the fleet within the last `kSizeRetention`. In
+  /// a network partition the views shrink on both sides, while leafs still bear
+  /// the load of both, so shares must not grow before the other members are
+  /// certainly gone.
   [[nodiscard]] FleetSize size(TimePoint now);
 
  private:
-  static constexpr std::chrono::seconds kMemory{30};
-  /// Until then some others have not been met yet, and shares would be too
-  /// large for a moment in which the whole fleet starts.
-  static constexpr std::chrono::seconds kSettling{3};
+  static constexpr std::chrono::seconds kSizeRetention{30};
+  /// Time after the start in which some members aren't known yet. Shares would
+  /// be too large during it if the whole fleet starts at once.
+  static constexpr std::chrono::seconds kStartupPeriod{3};
 
-  void take(const membership::MembershipView& view);
-  void take(const std::vector<membership::Contact>& contacts);
+  void update(const membership::MembershipView& view);
+  void update(const std::vector<membership::Contact>& contacts);
 
   const Settings settings;
   RcuCell<membership::MembershipView> view;
--- a/ibismux/edge/stall_detector.h
+++ b/ibismux/edge/stall_detector.h
@@ -7,12 +7,12 @@
 
 namespace ibismux::edge {
 
-/// Notices that this process, or its host, was stalled for a while.
+/// Detects that this process or its host was stalled.
 ///
-/// A host that was suspended wakes with leafs and a configuration that may be
-/// long gone, while every connection still looks well: the steady clock doesn't
-/// count the time. Two clocks that drift apart, or a tick that comes late, say
-/// so at the next tick.
+/// After a host was suspended, its leafs and configuration may be long out of
+/// date, while every connection still looks healthy, because the steady clock
+/// doesn't count the suspension. The next tick detects a stall by a late tick
+/// or by the difference between the steady clock and the boot-time clock.
 ///
 /// Not thread safe.
 class StallDetector {
@@ -20,27 +20,28 @@
   /// Time since the host was started, suspensions included.
   using BootTime = std::chrono::nanoseconds;
 
-  /// @param interval Between two calls of `tick()`.
+  /// @param interval The expected time between two calls of `tick()`.
   StallDetector(Duration interval, TimePoint now, BootTime boot_time) noexcept
       : interval(interval), last(now), last_boot(boot_time) {}
 
-  /// @return How long the process was stalled since the last tick; zero where
-  /// that is less than `kLeastStall`.
+  /// @return The duration of the stall since the last tick; zero if it is less
+  /// than `kMinStall`.
   [[nodiscard]] Duration tick(TimePoint now, BootTime boot_time) noexcept {
     const Duration passed =
         std::max<Duration>(now - this->last, boot_time - this->last_boot);
     this->last = now;
     this->last_boot = boot_time;
     const Duration stall = passed - this->interval;
-    return stall >= kLeastStall ? stall : Duration::zero();
+    return stall >= kMinStall ? stall : Duration::zero();
   }
 
-  /// The system's clock for `BootTime`. Thread safe.
+  /// Reads the system's boot-time clock. Thread safe.
   [[nodiscard]] static BootTime boot_time() noexcept;
 
  private:
-  // A busy host of a quarter of a core runs late by some tens of milliseconds.
-  static constexpr std::chrono::milliseconds kLeastStall{800};
+  // On a busy host with a quarter of a core, ticks are late by some tens of
+  // milliseconds.
+  static constexpr std::chrono::milliseconds kMinStall{800};
 
   const Duration interval;
   TimePoint last;
--- a/ibismux/edge/store_check.cc
+++ b/ibismux/edge/store_check.cc
@@ -8,61 +8,62 @@
 
 using std::chrono::milliseconds;
 
-// Between cheap reads of a store that doesn't answer: an update is in force
-// within a second of its return.
-constexpr milliseconds kLostInterval{300};
-// After the store's return: how long a daemon that has a watcher in its zone
-// waits for what that one reads: time for it to read, and for its updates to be
-// relied on.
-constexpr milliseconds kWatcherReturnTime{2200};
-// A change that is a moment old may still be on its way to the watch.
+// Interval of reads while the store doesn't answer. It is short so that an
+// update is in force within a second of the store's recovery.
+constexpr milliseconds kOutageInterval{300};
+// After the store's recovery, a daemon that has a watcher in its zone waits
+// this long for the updates of the watcher: the watcher needs time to read the
+// store and to become a source that the daemon relies on.
+constexpr milliseconds kWatcherTimeout{2200};
+// One read isn't enough, because a very recent change may not have reached the
+// watch yet.
 constexpr int kReadsUntilStalled = 2;
 
 }  // namespace
 
 Duration StoreCheck::interval(Duration usual) const noexcept {
-  return this->was_lost ? std::min<Duration>(kLostInterval, usual) : usual;
+  return this->was_lost ? std::min<Duration>(kOutageInterval, usual) : usual;
 }
 
 void StoreCheck::on_peers() noexcept {
   this->was_lost = false;
-  this->back_since.reset();
+  this->recovered_at.reset();
 }
 
 void StoreCheck::on_failure() noexcept {
   this->was_lost = true;
-  this->back_since.reset();
+  this->recovered_at.reset();
 }
 
 CheckAction StoreCheck::on_answer(const Answer& answer,
                                   TimePoint now) noexcept {
   if (this->was_lost || answer.any_lost) {
-    this->back_since = this->back_since.value_or(now);
+    this->recovered_at = this->recovered_at.value_or(now);
     this->was_lost =
-        answer.has_watcher && now < *this->back_since + kWatcherReturnTime;
+        answer.has_watcher && now < *this->recovered_at + kWatcherTimeout;
     if (this->was_lost) {
       return CheckAction::kNone;
     }
-    this->back_since.reset();
-    this->behind = 0;
-    // No contact yet: what is known is as old as before until it is read
-    // again, and peers would rely on it.
+    this->recovered_at.reset();
+    this->reads_behind = 0;
+    // The answer doesn't confirm the local data yet. The data is out of date
+    // until it is read again, and peers would rely on it.
     return CheckAction::kReadAgain;
   }
   if (answer.is_restored) {
-    this->behind = 0;
+    this->reads_behind = 0;
     return CheckAction::kReplaceWatch;
   }
   if (answer.is_behind) {
-    // The watch's answer will be a contact. This one would have peers rely on
-    // what is known here, which is known to be old.
-    if (++this->behind < kReadsUntilStalled) {
+    // This answer must not confirm the local data: peers would rely on data
+    // that is known to be old. The watch's answer will confirm it.
+    if (++this->reads_behind < kReadsUntilStalled) {
       return CheckAction::kNone;
     }
-    this->behind = 0;
+    this->reads_behind = 0;
     return CheckAction::kReplaceWatch;
   }
-  this->behind = 0;
+  this->reads_behind = 0;
   return answer.all_current ? CheckAction::kContact : CheckAction::kNone;
 }
 
--- a/ibismux/edge/store_check.h
+++ b/ibismux/edge/store_check.h
@@ -8,36 +8,38 @@
 
 namespace ibismux::edge {
 
-/// What to do after one cheap read of the store.
+/// The action to take after one check read of the store.
 enum class CheckAction : unsigned char {
   kNone,
-  kContact,    ///< The store answers, and what is known here is what it holds.
-  kReadAgain,  ///< It is back: all collections are to be read again.
-  kReplaceWatch,  ///< Its watch has stalled, or is of no use: the same.
+  kContact,       ///< The store answers, and the local data is current.
+  kReadAgain,     ///< The store is back; read all collections again.
+  kReplaceWatch,  ///< The watch is stalled or useless; read all again.
 };
 
-/// Decides what the cheap reads of a daemon that follows the store tell. A
-/// watch that waits can't tell a store without changes from one that has
-/// stopped answering.
+/// Evaluates the check reads of a daemon that follows the store. The reads are
+/// needed because a pending watch can't distinguish a store without changes
+/// from one that has stopped answering.
 ///
-/// No sockets, no clock of its own; not thread safe. The times given never go
-/// back.
+/// Uses no sockets and no clock. Not thread safe. Precondition: the times that
+/// are passed never decrease.
 class StoreCheck {
  public:
-  /// What one answer was compared with.
+  /// One answer of the store, compared with the local data.
   struct Answer {
-    bool any_lost = false;     ///< Some collection counts as out of date.
-    bool all_current = false;  ///< All are read from there, or watched.
-    bool is_restored = false;  ///< From a copy, since they were read.
-    bool is_behind = false;    ///< The store has a newer version of one.
-    /// Some peer of the zone is to follow the store for this daemon.
+    bool any_lost = false;     ///< Some collection is out of date.
+    bool all_current = false;  ///< All are read from the store or watched.
+    /// The store was restored from a copy after the collections were read.
+    bool is_restored = false;
+    bool is_behind = false;  ///< The store has a newer version of one.
+    /// A peer in the zone should follow the store on behalf of this daemon.
     bool has_watcher = false;
   };
 
-  /// How long until the next read. @param usual While all is well.
+  /// Returns the time until the next read.
+  /// @param usual The interval while the store answers.
   [[nodiscard]] Duration interval(Duration usual) const noexcept;
 
-  /// Peers bring updates: nothing is read here.
+  /// Peers forward updates, so this daemon reads nothing.
   void on_peers() noexcept;
   /// A read failed.
   void on_failure() noexcept;
@@ -46,8 +48,8 @@
 
  private:
   bool was_lost = false;
-  std::optional<TimePoint> back_since;  ///< While a watcher's read is awaited.
-  int behind = 0;                       ///< Reads in a row that were ahead.
+  std::optional<TimePoint> recovered_at;  ///< Set while a watcher is awaited.
+  int reads_behind = 0;  ///< Consecutive answers with `is_behind`.
 };
 
 }  // namespace ibismux::edge
--- a/tests/edge/contact_slots_test.cc
+++ b/tests/edge/contact_slots_test.cc
@@ -16,7 +16,7 @@
   return view;
 }
 
-Test(contact_slots, each_slot_has_one_daemon_whatever_the_size_of_the_fleet) {
+Test(contact_slots, each_slot_has_one_daemon_for_any_fleet_size) {
   for (const int hosts : {7, 91, 500}) {
     std::multiset<std::size_t> taken;
     for (int i = 0; i < hosts; ++i) {
@@ -31,11 +31,11 @@
   }
 }
 
-Test(contact_slots, a_daemon_that_has_met_nobody_takes_one) {
+Test(contact_slots, a_daemon_that_knows_no_other_has_a_slot) {
   cr_assert(slot_of(fleet(0, 1)).has_value());
 }
 
-Test(contact_slots, those_that_failed_have_none) {
+Test(contact_slots, failed_members_occupy_no_slot) {
   auto view = fleet(0, 20);
   for (auto& member : view.members) {
     if (member.name != "h0") {
--- a/tests/edge/fleet_test.cc
+++ b/tests/edge/fleet_test.cc
@@ -15,15 +15,15 @@
 
 using std::chrono::milliseconds;
 
-/// A daemon that starts beside a store which lists `contact`.
-class Starting {
+/// A daemon that starts with a store that lists `contact`.
+class StartingDaemon {
  public:
-  explicit Starting(store::HostEntry contact) {
+  explicit StartingDaemon(store::HostEntry contact) {
     this->store.set_hosts({std::move(contact)});
     cr_assert(this->fleet.start().has_value());
   }
 
-  /// The size that it goes by, once it goes by one; waits at most some seconds.
+  /// Returns the fleet size once it is known; waits at most 20 seconds.
   FleetSize size() {
     const TimePoint end = Clock::now() + std::chrono::seconds(20);
     FleetSize size = this->fleet.size(Clock::now());
@@ -47,9 +47,11 @@
        [] {}}};
 };
 
-// Guards against daemons of a large fleet that assume a small one.
-Test(fleet, its_size_is_known_from_a_contact_before_the_others_are_met) {
-  Starting daemon({"h9", "127.0.0.1:1", "z2", false, {{"z1", 45}, {"z2", 46}}});
+// Guards against daemons of a large fleet that assume a small fleet at the
+// start.
+Test(fleet, size_is_known_from_a_contact_before_others_join) {
+  StartingDaemon daemon(
+      {"h9", "127.0.0.1:1", "z2", false, {{"z1", 45}, {"z2", 46}}});
   const FleetSize size = daemon.size();
   cr_assert(size.known);
   cr_assert(size.sharers.hosts == 91);
@@ -61,8 +63,7 @@
   return {"h1", "10.0.0.1:1", "z", false, {{"z", hosts}}};
 }
 
-Test(contact_slots,
-     an_entry_is_written_anew_for_another_daemon_or_another_size) {
+Test(contact_slots, an_entry_is_replaced_for_another_daemon_or_fleet_size) {
   cr_assert(!should_replace(contact(91), contact(91)));
   cr_assert(!should_replace(contact(88), contact(91)));
   cr_assert(should_replace(contact(60), contact(91)));
--- a/tests/edge/stall_detector_test.cc
+++ b/tests/edge/stall_detector_test.cc
@@ -20,7 +20,7 @@
   }
 };
 
-Test(stall_detector, a_tick_in_time_is_no_stall) {
+Test(stall_detector, a_timely_tick_is_no_stall) {
   Fixture fixture;
   cr_assert(fixture.tick(milliseconds(500), milliseconds(500)) ==
             Duration::zero());
@@ -28,13 +28,13 @@
             Duration::zero());
 }
 
-Test(stall_detector, a_process_that_was_stopped_is_late) {
+Test(stall_detector, a_stopped_process_is_a_stall) {
   Fixture fixture;
   cr_assert(fixture.tick(seconds(3), seconds(3)) == milliseconds(2500));
 }
 
-// A suspended host: the steady clock doesn't count the time.
-Test(stall_detector, a_host_that_was_suspended_shows_by_its_other_clock) {
+// The steady clock doesn't count the time of a suspension.
+Test(stall_detector, a_suspended_host_is_detected_by_the_boot_clock) {
   Fixture fixture;
   cr_assert(fixture.tick(milliseconds(500), seconds(9)) == milliseconds(8500));
 }
--- a/tests/edge/store_check_test.cc
+++ b/tests/edge/store_check_test.cc
@@ -9,35 +9,37 @@
 using Answer = StoreCheck::Answer;
 
 constexpr milliseconds kUsual{1000};
-constexpr Answer kWell{.all_current = true};
+constexpr Answer kCurrent{.all_current = true};
 
-Test(store_check, an_answer_is_a_contact_where_all_is_current) {
+Test(store_check, an_answer_is_a_contact_if_all_is_current) {
   StoreCheck check;
   const TimePoint now = Clock::now();
-  cr_assert(check.on_answer(kWell, now) == CheckAction::kContact);
+  cr_assert(check.on_answer(kCurrent, now) == CheckAction::kContact);
   cr_assert(check.on_answer({}, now) == CheckAction::kNone);
   cr_assert(check.interval(kUsual) == kUsual);
 }
 
-Test(store_check, a_store_that_is_lost_is_read_more_often_until_it_is_back) {
+Test(store_check, a_lost_store_is_read_more_often_until_it_recovers) {
   StoreCheck check;
   check.on_failure();
   cr_assert(check.interval(kUsual) < kUsual);
   cr_assert(check.interval(milliseconds(100)) == milliseconds(100));
-  cr_assert(check.on_answer(kWell, Clock::now()) == CheckAction::kReadAgain);
+  cr_assert(check.on_answer(kCurrent, Clock::now()) == CheckAction::kReadAgain);
   cr_assert(check.interval(kUsual) == kUsual);
-  cr_assert(check.on_answer(kWell, Clock::now()) == CheckAction::kContact);
+  cr_assert(check.on_answer(kCurrent, Clock::now()) == CheckAction::kContact);
 }
 
-// Guards against an answer for one collection that passes for one for all.
+// Guards against an answer for one collection that is taken as an answer for
+// all.
 Test(store_check, a_lost_collection_is_read_again_before_any_contact) {
   StoreCheck check;
   const Answer lost{.any_lost = true, .all_current = true};
   cr_assert(check.on_answer(lost, Clock::now()) == CheckAction::kReadAgain);
 }
 
-// The load: hundreds of daemons that would all read a store that has returned.
-Test(store_check, a_follower_waits_for_its_watcher_but_not_for_long) {
+// Guards against a load spike: without the wait, hundreds of daemons would all
+// read a store that has just recovered.
+Test(store_check, a_follower_waits_for_its_watcher_for_a_limited_time) {
   StoreCheck check;
   const Answer followed{.all_current = true, .has_watcher = true};
   TimePoint now = Clock::now();
@@ -64,7 +66,7 @@
   cr_assert(check.on_answer(followed, Clock::now()) == CheckAction::kContact);
 }
 
-Test(store_check, another_outage_begins_the_wait_anew) {
+Test(store_check, another_outage_restarts_the_wait) {
   StoreCheck check;
   const Answer followed{.all_current = true, .has_watcher = true};
   const TimePoint now = Clock::now();
@@ -82,11 +84,11 @@
   cr_assert(check.on_answer(behind, now) == CheckAction::kNone);
   cr_assert(check.on_answer(behind, now) == CheckAction::kReplaceWatch);
   cr_assert(check.on_answer(behind, now) == CheckAction::kNone);
-  cr_assert(check.on_answer(kWell, now) == CheckAction::kContact);
+  cr_assert(check.on_answer(kCurrent, now) == CheckAction::kContact);
   cr_assert(check.on_answer(behind, now) == CheckAction::kNone);
 }
 
-// Guards against a watch that a restored store leaves without an answer.
+// Guards against a watch that never gets an answer from a restored store.
 Test(store_check, a_store_that_was_restored_is_read_again_at_once) {
   StoreCheck check;
   const Answer restored{.all_current = true, .is_restored = true};
