--- a/ibismux/edge/edge_daemon_life.cc
+++ b/ibismux/edge/edge_daemon_life.cc
@@ -123,7 +123,7 @@
     timer.expires_after(check.interval(this->settings.check_interval));
     co_await timer.async_wait(asio::use_awaitable);
     if (this->relay && !this->relay->follows_store()) {
-      check.on_peers();
+      check.on_peer_updates();
       continue;
     }
     auto object = co_await this->store.stale_get(
--- a/ibismux/edge/store_check.cc
+++ b/ibismux/edge/store_check.cc
@@ -25,7 +25,7 @@
   return this->was_lost ? std::min<Duration>(kOutageInterval, usual) : usual;
 }
 
-void StoreCheck::on_peers() noexcept {
+void StoreCheck::on_peer_updates() noexcept {
   this->was_lost = false;
   this->recovered_at.reset();
 }
--- a/ibismux/edge/store_check.h
+++ b/ibismux/edge/store_check.h
@@ -40,7 +40,7 @@
   [[nodiscard]] Duration interval(Duration usual) const noexcept;
 
   /// Peers forward updates, so this daemon reads nothing.
-  void on_peers() noexcept;
+  void on_peer_updates() noexcept;
   /// A read failed.
   void on_failure() noexcept;
   [[nodiscard]] CheckAction on_answer(const Answer& answer,
--- a/tests/edge/store_check_test.cc
+++ b/tests/edge/store_check_test.cc
@@ -61,7 +61,7 @@
   const Answer followed{.all_current = true, .has_watcher = true};
   check.on_failure();
   cr_assert(check.on_answer(followed, Clock::now()) == CheckAction::kNone);
-  check.on_peers();
+  check.on_peer_updates();
   cr_assert(check.interval(kUsual) == kUsual);
   cr_assert(check.on_answer(followed, Clock::now()) == CheckAction::kContact);
 }
