--- a/ibismux/edge/fleet.cc
+++ b/ibismux/edge/fleet.cc
@@ -96,7 +96,7 @@
   sharers.gathers = roles.gathers;
   this->current = std::move(sharers);
   this->listeners.on_view(fresh, roles);
-  this->listeners.on_size();
+  this->listeners.on_size_change();
 }
 
 void Fleet::update(const std::vector<membership::Contact>& contacts) {
@@ -127,7 +127,7 @@
   this->largest.rank =
       membership::name_hash(this->settings.member, kRankSalt) % max_hosts;
   this->largest_at = Clock::now();
-  this->listeners.on_size();
+  this->listeners.on_size_change();
 }
 
 FleetSize Fleet::size(TimePoint now) {
--- a/ibismux/edge/fleet.h
+++ b/ibismux/edge/fleet.h
@@ -44,7 +44,7 @@
                        const gather::GatherRoles& roles)>
         on_view;
     /// `size()` has changed, through a view or a contact entry.
-    std::function<void()> on_size;
+    std::function<void()> on_size_change;
   };
 
   /// All but `settings` and `listeners` must outlive this object and the pool's
