--- a/ibismux/query/gather.cc
+++ b/ibismux/query/gather.cc
@@ -23,7 +23,7 @@
 constexpr milliseconds kBaseBackoff{4};
 /// Size of the bit set of tried replicas. Replicas beyond it always count as
 /// untried.
-constexpr std::uint32_t kMostTrackedReplicas = 64;
+constexpr std::uint32_t kMaxTrackedReplicas = 64;
 
 /// Whether the same call may succeed on another replica or later.
 bool retriable(ErrorKind kind) noexcept {
@@ -52,8 +52,7 @@
       wake(this->plan.deadlines.deadline()) {}
 
 std::uint64_t Gather::ids_needed(const PinnedSnapshot& pin) noexcept {
-  return static_cast<std::uint64_t>(pin.snapshot->shards.size()) *
-         kMostAttempts;
+  return static_cast<std::uint64_t>(pin.snapshot->shards.size()) * kMaxAttempts;
 }
 
 void Gather::start(PinnedSnapshot pin,
@@ -136,7 +135,7 @@
   const auto& replicas = this->shard_view(shard).replicas;
   const auto position = static_cast<std::size_t>(
       std::find(replicas.begin(), replicas.end(), leaf) - replicas.begin());
-  if (position < kMostTrackedReplicas) {
+  if (position < kMaxTrackedReplicas) {
     progress.tried |= std::uint64_t{1} << position;
   }
   this->starts.push_back(
@@ -151,7 +150,7 @@
   this->candidates.clear();
   for (std::size_t i = 0; i < replicas.size(); ++i) {
     const bool tried =
-        i < kMostTrackedReplicas && (this->shards[shard].tried >> i & 1) != 0;
+        i < kMaxTrackedReplicas && (this->shards[shard].tried >> i & 1) != 0;
     if (!tried && !this->pinned.release->leafs[replicas[i]].leaving) {
       this->candidates.push_back(replicas[i]);
     }
@@ -276,7 +275,7 @@
     this->mark_snapshot_gone(shard, now);
     return;
   }
-  if (!retriable(error.kind) || progress.attempts >= kMostAttempts) {
+  if (!retriable(error.kind) || progress.attempts >= kMaxAttempts) {
     this->fail_shard(shard, error.kind);
     return;
   }
--- a/ibismux/query/gather.h
+++ b/ibismux/query/gather.h
@@ -27,7 +27,7 @@
 class Gather {
  public:
   /// The most calls to one shard, including the first call, hedges and retries.
-  static constexpr std::uint32_t kMostAttempts = 4;
+  static constexpr std::uint32_t kMaxAttempts = 4;
 
   Gather(const GatherPlan& plan, GatherPolicies policies);
 
--- a/ibismux/query/gather_plan.cc
+++ b/ibismux/query/gather_plan.cc
@@ -16,7 +16,7 @@
 /// a partial one could have arrived in time.
 constexpr int kResponseReserveDivisor = 20;
 /// Upper limit of the reserved time.
-constexpr milliseconds kMostResponseReserve{10};
+constexpr milliseconds kMaxResponseReserve{10};
 
 milliseconds allowed_time(const QueryRequest& request,
                           const release::QueryService& spec) {
@@ -24,7 +24,7 @@
     return spec.deadline;
   }
   const milliseconds response_reserve = std::min(
-      kMostResponseReserve, *request.deadline / kResponseReserveDivisor);
+      kMaxResponseReserve, *request.deadline / kResponseReserveDivisor);
   return std::min(spec.deadline, *request.deadline - response_reserve);
 }
 
--- a/ibismux/query/gather_timing.cc
+++ b/ibismux/query/gather_timing.cc
@@ -22,13 +22,13 @@
 /// How long a query waits for a newer snapshot if the pinned one already gives
 /// the minimum coverage. Without this limit, a leaf that has lost its index
 /// would delay every query until its deadline.
-constexpr milliseconds kMostNewerSnapshotWait{50};
+constexpr milliseconds kMaxNewerSnapshotWait{50};
 /// Assumed duration of a restart while the latency of the service is unknown.
 constexpr milliseconds kDefaultRestartTime{10};
 /// The most hedges of one shard. If there is no third replica, the second hedge
 /// goes to a replica that already has a call: one call may be slow although the
 /// leaf as a whole is not.
-constexpr std::uint8_t kMostHedgesPerShard = 2;
+constexpr std::uint8_t kMaxHedgesPerShard = 2;
 
 }  // namespace
 
@@ -56,7 +56,7 @@
   const std::size_t reachable =
       this->merged + this->open - this->snapshot_gone_shards;
   if (this->plan.deadlines.reaches_min_coverage(reachable, total) &&
-      now >= this->snapshot_gone_since + kMostNewerSnapshotWait) {
+      now >= this->snapshot_gone_since + kMaxNewerSnapshotWait) {
     return false;
   }
   const Duration needed =
@@ -101,8 +101,8 @@
 
 bool Gather::may_hedge(const ShardProgress& progress) const noexcept {
   return progress.state == ShardState::kOpen && progress.outstanding > 0 &&
-         progress.hedges < kMostHedgesPerShard &&
-         progress.attempts < kMostAttempts;
+         progress.hedges < kMaxHedgesPerShard &&
+         progress.attempts < kMaxAttempts;
 }
 
 TimePoint Gather::hedge_at(const ShardProgress& progress,
--- a/ibismux/query/latency_quantile.cc
+++ b/ibismux/query/latency_quantile.cc
@@ -33,7 +33,7 @@
 void LatencyQuantile::record(Duration latency) {
   const double ms = std::chrono::duration<double, std::milli>(latency).count();
   this->histogram->bins(std::clamp(ms, kLowestMs, kHighestMs * 0.99));
-  this->samples = std::min(this->samples + 1, kLeastSamples);
+  this->samples = std::min(this->samples + 1, kMinSamples);
   if (++this->samples_since_halving == kSamplesPerHalving) {
     this->samples_since_halving = 0;
     this->histogram->bins *= 0.5;
@@ -41,7 +41,7 @@
 }
 
 std::optional<Duration> LatencyQuantile::at(double quantile) const {
-  if (this->samples < kLeastSamples) {
+  if (this->samples < kMinSamples) {
     return std::nullopt;
   }
   double total = 0;
--- a/ibismux/query/latency_quantile.h
+++ b/ibismux/query/latency_quantile.h
@@ -16,7 +16,7 @@
 class LatencyQuantile {
  public:
   /// Number of samples below which no quantile is given.
-  static constexpr std::uint32_t kLeastSamples = 30;
+  static constexpr std::uint32_t kMinSamples = 30;
   static constexpr std::uint32_t kSamplesPerHalving = 8192;
 
   LatencyQuantile();
--- a/ibismux/query/leaf_stats.cc
+++ b/ibismux/query/leaf_stats.cc
@@ -21,7 +21,7 @@
 /// leaf that refuses calls at once would look fast and idle.
 constexpr double kFailureCostMs = 50.0;
 /// Upper limit of the failure count.
-constexpr double kMostFailures = 8.0;
+constexpr double kMaxFailures = 8.0;
 
 double decay_factor(Duration::rep since,
                     TimePoint now,
@@ -48,7 +48,7 @@
       this->failures.load(std::memory_order_relaxed) *
       decay_factor(this->failed_at.load(std::memory_order_relaxed), now,
                    kFailureHalfLife);
-  this->failures.store(std::min(kMostFailures, before + 1),
+  this->failures.store(std::min(kMaxFailures, before + 1),
                        std::memory_order_relaxed);
   this->failed_at.store(now.time_since_epoch().count(),
                         std::memory_order_relaxed);
--- a/ibismux/query/service_policy.cc
+++ b/ibismux/query/service_policy.cc
@@ -25,7 +25,7 @@
 constexpr double kTargetWinShare = 0.35;
 /// Lower limit of that reduction. Some hedges are always sent, so that it shows
 /// when they become useful again.
-constexpr double kLeastWinFactor = 0.1;
+constexpr double kMinWinFactor = 0.1;
 /// Load up to which hedges are not reduced, and load from which there are none.
 /// Load is the larger of the share of a call's time spent in queues and the
 /// share of calls that fail.
@@ -89,7 +89,7 @@
   return target_share *
          std::clamp(this->hedge_win_share.load(std::memory_order_relaxed) /
                         kTargetWinShare,
-                    kLeastWinFactor, 1.0);
+                    kMinWinFactor, 1.0);
 }
 
 std::optional<Duration> ServicePolicy::hedge_delay() const noexcept {
--- a/tests/query/gather_random_test.cc
+++ b/tests/query/gather_random_test.cc
@@ -118,7 +118,7 @@
       }
     }
     cr_assert(this->query.gather.counts().calls <=
-              Gather::kMostAttempts * this->shards_of_both());
+              Gather::kMaxAttempts * this->shards_of_both());
     const Result<QueryAnswer> answer = this->query.gather.take_result();
     if (!answer.has_value()) {
       cr_assert(answer.error().retry_after.has_value());
--- a/tests/query/gather_test.cc
+++ b/tests/query/gather_test.cc
@@ -116,7 +116,7 @@
 Test(gather, a_malformed_answer_does_not_contribute) {
   GatherFixture query(usual_pin(2, 1), 0.5);
   query.answer_hit(query.started[0], 2);
-  for (std::uint32_t i = 0; i < Gather::kMostAttempts; ++i) {
+  for (std::uint32_t i = 0; i < Gather::kMaxAttempts; ++i) {
     const GatherCall call = i == 0 ? query.started[1] : query.started[0];
     query.answer(call.sequence, R"({"hits":[{"id":"x")", 3);
     query.gather.on_timer(query.at(200 * (i + 1)));
