--- a/ibismux/dispatch/dispatch_settings.h
+++ b/ibismux/dispatch/dispatch_settings.h
@@ -28,7 +28,7 @@
   /// Number of daemons assumed until the size of the fleet is known.
   std::size_t hosts = 10;
 
-  /// Penalty on leafs of other zones, in multiples of the usual call latency:
+  /// Penalty on leafs of other zones, in multiples of the typical call latency:
   /// traffic between zones is charged for and takes longer.
   double remote_cost = 1.0;
 
--- a/ibismux/dispatch/dispatcher.cc
+++ b/ibismux/dispatch/dispatcher.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Initial estimate of a route's usual latency, as a share of its objective. It
-// is the usual ratio for routes whose objective was set by someone who knows
+// Initial estimate of a route's typical latency, as a share of its objective.
+// It is the usual ratio for routes whose objective was set by someone who knows
 // the workload.
 constexpr double kInitialLatencyShare = 0.12;
 
--- a/ibismux/dispatch/hedge_timing.cc
+++ b/ibismux/dispatch/hedge_timing.cc
@@ -22,12 +22,13 @@
 
 }  // namespace
 
-Duration hedge_delay(Duration usual, Duration until_due) noexcept {
+Duration hedge_delay(Duration typical_latency, Duration until_due) noexcept {
   const Duration latest =
-      std::max(scaled(usual, kMinHedgeFactor),
-               until_due - scaled(usual, kSecondAnswerFactor));
-  return std::max<Duration>(kMinHedgeDelay,
-                            std::min(scaled(usual, kHedgeDelayFactor), latest));
+      std::max(scaled(typical_latency, kMinHedgeFactor),
+               until_due - scaled(typical_latency, kSecondAnswerFactor));
+  return std::max<Duration>(
+      kMinHedgeDelay,
+      std::min(scaled(typical_latency, kHedgeDelayFactor), latest));
 }
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/hedge_timing.h
+++ b/ibismux/dispatch/hedge_timing.h
@@ -12,9 +12,10 @@
 /// enough that few calls would have been answered by then anyway: hedging those
 /// only adds load.
 ///
-/// @param usual The median latency of such a call.
+/// @param typical_latency The median latency of such a call.
 /// @param until_due From the arrival of the request until its answer is due.
-[[nodiscard]] Duration hedge_delay(Duration usual, Duration until_due) noexcept;
+[[nodiscard]] Duration hedge_delay(Duration typical_latency,
+                                   Duration until_due) noexcept;
 
 }  // namespace ibismux::dispatch
 
--- a/ibismux/dispatch/part_call.cc
+++ b/ibismux/dispatch/part_call.cc
@@ -71,7 +71,7 @@
 }
 
 SelectionCriteria PartCall::criteria(bool is_repeat) const {
-  return {.usual = this->context->typical->value(),
+  return {.typical_latency = this->context->typical->value(),
           .objective = this->context->route->objective,
           .tried = &this->tried_leafs,
           .zones = this->context->zones(),
--- a/ibismux/dispatch/service_group.cc
+++ b/ibismux/dispatch/service_group.cc
@@ -15,15 +15,15 @@
 using std::chrono::milliseconds;
 
 // A leaf is unresponsive once its calls have waited for this multiple of the
-// usual latency without any answer. One call in a hundred takes that long at a
-// healthy leaf.
+// typical latency without any answer. One call in a hundred takes that long at
+// a healthy leaf.
 constexpr double kUnresponsiveLatencyRatio = 2.5;
 constexpr milliseconds kMinUnresponsiveWait{4};
 // Large enough to rank an unresponsive leaf behind every responsive one.
 constexpr int kUnresponsiveCostFactor = 1000;
 
-// A leaf counts as healthy up to this ratio of its latency to the usual one and
-// up to this share of failed calls. A healthy leaf of this zone with a free
+// A leaf counts as healthy up to this ratio of its latency to the typical one
+// and up to this share of failed calls. A healthy leaf of this zone with a free
 // slot is chosen even if a leaf of another zone would answer a little sooner,
 // because traffic between zones is charged for. The ratio is larger than the
 // differences in speed between hosts and smaller than the slowdown of an
@@ -32,8 +32,9 @@
 constexpr double kMaxHealthyFailureShare = 0.1;
 
 Duration unresponsive_after(const SelectionCriteria& criteria) {
-  return std::max<Duration>(kMinUnresponsiveWait,
-                            scaled(criteria.usual, kUnresponsiveLatencyRatio));
+  return std::max<Duration>(
+      kMinUnresponsiveWait,
+      scaled(criteria.typical_latency, kUnresponsiveLatencyRatio));
 }
 
 bool is_in_zones(const ZoneNames* zones, const Leaf& leaf) {
@@ -114,7 +115,7 @@
       .remote = policy.prefer_own_zone && !this->is_own_zone(leaf),
       .keeps_links = leaf.keeps_links(),
       .has_idle_link = leaf.has_idle_link()};
-  return leaf_cost(state, criteria.usual, criteria.objective,
+  return leaf_cost(state, criteria.typical_latency, criteria.objective,
                    this->settings.remote_cost);
 }
 
--- a/ibismux/dispatch/service_group.h
+++ b/ibismux/dispatch/service_group.h
@@ -19,8 +19,8 @@
 
 /// What the choice of a leaf for one call depends on.
 struct SelectionCriteria {
-  Duration usual;      ///< Latency of such a call at the median leaf.
-  Duration objective;  ///< Latency objective of the route.
+  Duration typical_latency;  ///< Latency of such a call at the median leaf.
+  Duration objective;        ///< Latency objective of the route.
   /// Leafs that have already been sent this request; null: none.
   const std::vector<std::shared_ptr<Leaf>>* tried = nullptr;
   /// Zones that the request may be sent to; null: all of them.
--- a/tests/dispatch/own_zone_test.cc
+++ b/tests/dispatch/own_zone_test.cc
@@ -76,7 +76,7 @@
 
   [[nodiscard]] std::string chosen() const {
     const auto leaf = this->group.choose(
-        {.usual = kUsual, .objective = kObjective}, this->now);
+        {.typical_latency = kUsual, .objective = kObjective}, this->now);
     return leaf ? leaf->entry().run.id : "";
   }
 };
