--- a/ibismux/dispatch/call_window.h
+++ b/ibismux/dispatch/call_window.h
@@ -29,7 +29,7 @@
     return static_cast<std::size_t>(this->limit.limit());
   }
 
-  /// @param unloaded Latency of such a call while leafs have no queues.
+  /// @param unloaded_latency Latency of such a call while leafs have no queues.
   /// @param in_flight Calls of this daemon at the leaf, including this one.
   void on_answer(Duration took,
                  Duration unloaded_latency,
