--- a/ibismux/dispatch/answer_timing.h
+++ b/ibismux/dispatch/answer_timing.h
@@ -11,6 +11,7 @@
 ///
 /// @param opens_connection The request is the first one on its connection: its
 /// caller has also waited for the connection to be set up.
+/// Thread safe.
 [[nodiscard]] TimePoint answer_due(TimePoint received,
                                    Duration objective,
                                    bool opens_connection) noexcept;
@@ -21,6 +22,7 @@
 ///
 /// @param send_time From the arrival of the query until its last call was
 /// started.
+/// Thread safe.
 [[nodiscard]] Duration answer_assembly_time(Duration send_time) noexcept;
 
 }  // namespace ibismux::dispatch
--- a/ibismux/dispatch/hedge_timing.h
+++ b/ibismux/dispatch/hedge_timing.h
@@ -14,6 +14,7 @@
 ///
 /// @param typical_latency The median latency of such a call.
 /// @param until_due From the arrival of the request until its answer is due.
+/// Thread safe.
 [[nodiscard]] Duration hedge_delay(Duration typical_latency,
                                    Duration until_due) noexcept;
 
