--- a/tests/dispatch/zone_reports_test.cc
+++ b/tests/dispatch/zone_reports_test.cc
@@ -8,7 +8,7 @@
 #include "ibismux/reports/report_aggregator.h"
 
 // How long the daemons of a zone avoid a slow leaf, simulated without a
-// network: the estimates of the daemons and the board that aggregates their
+// network: the estimates of the daemons and the aggregator of their
 // reports.
 
 namespace ibismux::dispatch {
@@ -70,12 +70,12 @@
             {{"leaf"}, seen.samples, seen.excess / seen.samples, 0}, this->now);
       }
     }
-    for (const reports::LeafReport& news :
+    for (const reports::LeafReport& report :
          this->aggregator.summary(this->now)) {
       for (LeafEstimate& estimate : this->estimates) {
-        estimate.merge_report({.excess = news.excess,
-                               .failures = news.failures,
-                               .samples = news.samples,
+        estimate.merge_report({.excess = report.excess,
+                               .failures = report.failures,
+                               .samples = report.samples,
                                .half_life = this->half_life()},
                               this->now);
       }
