--- a/ibismux/peer/peer_network.h
+++ b/ibismux/peer/peer_network.h
@@ -34,7 +34,7 @@
   kRecord = 20,        ///< Reservation outcome, to the bucket's owner.
   kAskKey = 21,
   kTicketRun = 22,
-  kInForce = 23,      ///< Lowest generation of a subtree.
+  kInForce = 23,      ///< Tallies of a subtree by generation.
   kFeedPull = 24,     ///< "What is newer in the store than this?"
   kGatherQuery = 25,  ///< A caller's query, to be gathered by the receiver.
 };
