--- a/tests/dispatch/zone_reports_test.cc
+++ b/tests/dispatch/zone_reports_test.cc
@@ -8,8 +8,7 @@
 #include "ibismux/reports/report_aggregator.h"
 
 // How long the daemons of a zone avoid a slow leaf, simulated without a
-// network: the estimates of the daemons and the aggregator of their
-// reports.
+// network: the estimates of the daemons and the aggregator of their reports.
 
 namespace ibismux::dispatch {
 namespace {
